--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -86,7 +86,8 @@
 			}
 		}
 	}
-	for id, b := range f.booting {
+	for _, id := range f.bootingIDs() {
+		b := f.booting[id]
 		if t := f.types[b.typ]; t != nil && !f.late[id] {
 			boots = append(boots, supply{t.Cores, max(0, t.Boot-(now-b.since).Seconds())})
 			if !b.spot {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -4,6 +4,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"time"
 
 	"curlewspool/internal/part"
@@ -144,11 +146,16 @@
 	}
 }
 
+// bootingIDs lists the machines that boot in the order of their names: sums over them
+// are rounded alike in every run.
+func (f *Fleet) bootingIDs() []string { return slices.Sorted(maps.Keys(f.booting)) }
+
 // Coming is how many cores boot, and in how many seconds they should be up, on
 // average.
 func (f *Fleet) Coming() (cores, in float64) {
 	now, sum := f.w.Now(), 0.0
-	for id, b := range f.booting {
+	for _, id := range f.bootingIDs() {
+		b := f.booting[id]
 		if t := f.types[b.typ]; t != nil && !f.late[id] {
 			cores += t.Cores
 			sum += t.Cores * max(0, t.Boot-(now-b.since).Seconds())
--- a/internal/fleet/rent.go
+++ b/internal/fleet/rent.go
@@ -87,7 +87,7 @@
 		return b
 	}
 	late := map[option]int{}
-	for _, id := range slices.Sorted(maps.Keys(f.booting)) {
+	for _, id := range f.bootingIDs() {
 		if b := f.booting[id]; f.late[id] {
 			late[b.option]++
 		} else {
--- a/internal/standin/random_test.go
+++ b/internal/standin/random_test.go
@@ -294,9 +294,13 @@
 
 // play plays a random day of two to five troubles that overlap and end by 80 s,
 // and gives what went wrong.
-func play(seed int) (s *Sim, script, wrong []string) {
+func play(seed int) (s *Sim, script, wrong []string) { return playObserved(seed, nil) }
+
+// playObserved plays a random day and tells observe, if any, of each message on its network.
+func playObserved(seed int, observe func(Traffic)) (s *Sim, script, wrong []string) {
 	r := rand.New(rand.NewPCG(uint64(seed), 7))
 	s = New(uint64(seed))
+	s.OnTraffic = observe
 	s.API()
 	singles := seed%2 == 1 // every second day has a rush of single tasks, on record as being anywhere
 	if singles {
--- a/internal/standin/sim.go
+++ b/internal/standin/sim.go
@@ -51,6 +51,8 @@
 	Late []func(from, path string, body []byte) (after time.Duration, ok bool)
 	// OnCall is told each request as it is made.
 	OnCall func(from, method, path string)
+	// OnTraffic is told each message as it leaves its sender.
+	OnTraffic func(Traffic)
 	// OnAnswer is told the status of each answer that a host took.
 	OnAnswer func(method, path string, status int)
 	// Unsaid: the word of a cancellation does not arrive at other controllers.
@@ -59,6 +61,22 @@
 	Lag func(from, to string) time.Duration
 }
 
+// Traffic is one message on the simulated network.
+type Traffic struct {
+	At           time.Duration // simulated time since the start of the day
+	From, To     string        // addresses
+	Method, Path string        // of a request and of its answer; "peer" and "" between controllers
+	Status       int           // of an answer; 0 in requests and between controllers
+	Body         []byte
+}
+
+// traffic tells OnTraffic of a message that leaves its sender now.
+func (n *Net) traffic(from, to, method, path string, status int, body []byte) {
+	if n.OnTraffic != nil {
+		n.OnTraffic(Traffic{At: n.now, From: from, To: to, Method: method, Path: path, Status: status, Body: body})
+	}
+}
+
 func newNet(seed uint64) *Net {
 	return &Net{refuse: map[string]bool{}, down: map[string]bool{}, rnd: rand.New(rand.NewPCG(seed, 1)), serve: map[string]server{}, cuts: map[string]bool{}, deaf: map[string]bool{},
 		held: map[string][]func(){}, sims: map[string]*Sim{}, hosts: map[string]*Host{}}
@@ -368,6 +386,7 @@
 	if n.OnCall != nil {
 		n.OnCall(from, method, path)
 	}
+	n.traffic(from, to, method, path, 0, body)
 	over, mute := false, false
 	n.after(timeout, func() {
 		if !over {
@@ -393,6 +412,7 @@
 			if answer != nil {
 				b = wire.Encode(answer)
 			}
+			n.traffic(to, from, method, path, status, b)
 			n.deliver(to, from, func() {
 				if over || mute {
 					return
@@ -550,6 +570,7 @@
 		panic(err)
 	}
 	s := w.h.s
+	s.traffic(s.addr(w.h.name), s.addr(member), "peer", "", 0, b)
 	if s.cuts[s.addr(w.h.name)+"|"+s.addr(member)] {
 		return // a mesh connection gives up after a while
 	}
