--- a/cmd/curlew/dev.go
+++ b/cmd/curlewctl/dev.go
@@ -19,15 +19,15 @@
 
 	"github.com/spf13/cobra"
 
-	"curlewspool/internal/audit"
 	"curlewspool/internal/client"
-	"curlewspool/internal/dev"
-	"curlewspool/internal/standin"
-	"curlewspool/internal/wire"
+	"curlewspool/internal/devcluster"
+	"curlewspool/internal/historycheck"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/simulator"
 )
 
 func devCommand() *cobra.Command {
-	p := dev.Plan{}
+	p := devcluster.Plan{}
 	var kills []string
 	var stop time.Duration
 	var asJSON bool
@@ -37,12 +37,12 @@
 		Use: "dev", Short: "Run whole clusters on this machine until Ctrl-C",
 		Long: "Starts stand-ins for the state service, the cloud and the machines, and real controllers,\n" +
 			"all on the loopback, and prints how to speak to them. Ctrl-C ends all of it, and nothing else.",
-		Example: "  curlew dev --sample 6          # start, run sample jobs, show them done, end\n" +
-			"  curlew dev --clusters 2 --kill east/@30s",
+		Example: "  curlewctl dev --sample 6          # start, run sample jobs, show them done, end\n" +
+			"  curlewctl dev --clusters 2 --kill east/@30s",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			for _, k := range kills {
-				kill, err := dev.ParseKill(k)
+				kill, err := devcluster.ParseKill(k)
 				if err != nil {
 					return err
 				}
@@ -115,8 +115,8 @@
 	only        string
 }
 
-func runDev(ctx context.Context, p dev.Plan, load sampleLoad, asJSON bool, out io.Writer) (err error) {
-	if p.Program, err = dev.Program(p.Program, p.Dir, p.Say); err != nil {
+func runDev(ctx context.Context, p devcluster.Plan, load sampleLoad, asJSON bool, out io.Writer) (err error) {
+	if p.Program, err = devcluster.Program(p.Program, p.Dir, p.Say); err != nil {
 		return err
 	}
 	if p.Old != "" {
@@ -124,13 +124,13 @@
 			return err
 		}
 	}
-	d, err := dev.Start(p)
+	d, err := devcluster.Start(p)
 	if err != nil {
 		return err
 	}
 	defer func() {
 		d.Stop()
-		if broken := d.Live.Ended(); err == nil && len(broken) > 0 {
+		if broken := d.Live.Violations(); err == nil && len(broken) > 0 {
 			err = fmt.Errorf("%d rules were seen broken, the first: %s", len(broken), broken[0])
 		}
 	}()
@@ -156,8 +156,8 @@
 		p.Say("%sready for users at %s; controllers at %v", name, j.Users, j.Controllers)
 	}
 	p.Say("settings, logs and what the machines saw: %s", p.Dir)
-	p.Say("try:  curlew submit --to %s --tasks 20 --estimate 5 --wait", list[0].Users)
-	p.Say("      curlew status --to %s JOB", list[0].Users)
+	p.Say("try:  curlewctl submit --to %s --tasks 20 --estimate 5 --wait", list[0].Users)
+	p.Say("      curlewctl status --to %s JOB", list[0].Users)
 	if load.jobs > 0 {
 		r, err := samples(ctx, d, load, p.Say)
 		if err != nil {
@@ -165,8 +165,8 @@
 		}
 		if asJSON {
 			return show(out, true, struct {
-				Clusters []clusterJSON `json:"clusters"`
-				Seen     *audit.Report `json:"seen"`
+				Clusters []clusterJSON        `json:"clusters"`
+				Seen     *historycheck.Report `json:"seen"`
 			}{list, r}, nil)
 		}
 		return nil
@@ -183,7 +183,7 @@
 
 // samples submits arrays and gangs, waits until all are done, and has what the
 // machines saw judged.
-func samples(ctx context.Context, d *dev.Dev, load sampleLoad, say func(string, ...any)) (*audit.Report, error) {
+func samples(ctx context.Context, d *devcluster.Dev, load sampleLoad, say func(string, ...any)) (*historycheck.Report, error) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var failed error
@@ -195,12 +195,12 @@
 		}
 		for i := 0; i < load.jobs; i++ {
 			id := fmt.Sprintf("wk-sample-%s%d", c.Name, i+1)
-			sub := standin.Spec(id, wire.Array, load.tasks, 1, load.seconds, nil)
+			sub := simulator.NewSubmission(id, protocol.ShapeArray, load.tasks, 1, load.seconds, nil)
 			if i%3 == 2 {
-				sub = standin.Spec(id, wire.Gang, 3, 2, load.seconds, nil)
+				sub = simulator.NewSubmission(id, protocol.ShapeGang, 3, 2, load.seconds, nil)
 			}
-			*sub.Trade = "sample"
-			tasks[id] = int(*sub.Pieces)
+			*sub.Class = "sample"
+			tasks[id] = int(*sub.Tasks)
 			cl, err := client.New(c.Address())
 			if err != nil {
 				return nil, err
@@ -211,7 +211,7 @@
 				defer wg.Done()
 				_, err := cl.Submit(ctx, sub)
 				if err == nil {
-					_, err = cl.Wait(ctx, id, func(s *wire.JobState) { say("%s", client.Line(s)) })
+					_, err = cl.Wait(ctx, id, func(s *protocol.JobState) { say("%s", client.Line(s)) })
 				}
 				if err != nil {
 					mu.Lock()
@@ -231,24 +231,24 @@
 	}
 	for id, want := range tasks {
 		if r.Jobs[id] != want {
-			r.Wrong = append(r.Wrong, fmt.Sprintf("%s is done, machines finished %d of its %d tasks", id, r.Jobs[id], want))
+			r.Violations = append(r.Violations, fmt.Sprintf("%s is done, machines finished %d of its %d tasks", id, r.Jobs[id], want))
 		}
 	}
 	say("%d jobs done in %.0f s; machines saw %d tasks start %d times, %d finished once (%s), %d started again with their result kept", len(tasks), time.Since(begun).Seconds(),
-		r.Tasks, r.Starts, r.Finished, places(r.By), r.Kept)
-	if len(r.Wrong) > 0 {
-		return r, errors.New(r.Wrong[0])
+		r.Tasks, r.Starts, r.Finished, places(r.ByCluster), r.ResultsReused)
+	if len(r.Violations) > 0 {
+		return r, errors.New(r.Violations[0])
 	}
 	return r, nil
 }
 
-func auditFile(name string) (*audit.Report, error) {
+func auditFile(name string) (*historycheck.Report, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	r, err := audit.Read(f)
+	r, err := historycheck.Check(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
@@ -259,7 +259,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "audit FILE", Short: "Judge what machines saw: each task finished once, none in two places",
-		Long: "FILE is the machines.jsonl that `curlew dev` leaves in its folder.", Args: cobra.ExactArgs(1),
+		Long: "FILE is the machines.jsonl that `curlewctl dev` leaves in its folder.", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := auditFile(args[0])
 			if err != nil {
@@ -267,18 +267,18 @@
 			}
 			if err := show(c.OutOrStdout(), asJSON, r, func(w io.Writer) {
 				fmt.Fprintf(w, "%d tasks of %d jobs, %d starts: %d finished once, %d started again with their result kept, %d still there, %d lost and not run again\n",
-					r.Tasks, len(r.Jobs), r.Starts, r.Finished, r.Kept, r.Left, r.Lost)
-				for _, c := range slices.Sorted(maps.Keys(r.By)) {
-					fmt.Fprintf(w, "finished in %s: %d\n", cmp.Or(c, "the cluster"), r.By[c])
+					r.Tasks, len(r.Jobs), r.Starts, r.Finished, r.ResultsReused, r.Running, r.Lost)
+				for _, c := range slices.Sorted(maps.Keys(r.ByCluster)) {
+					fmt.Fprintf(w, "finished in %s: %d\n", cmp.Or(c, "the cluster"), r.ByCluster[c])
 				}
-				for _, x := range r.Wrong {
+				for _, x := range r.Violations {
 					fmt.Fprintln(w, "WRONG", x)
 				}
 			}); err != nil {
 				return err
 			}
-			if len(r.Wrong) > 0 {
-				return fmt.Errorf("%d things were wrong", len(r.Wrong))
+			if len(r.Violations) > 0 {
+				return fmt.Errorf("%d things were wrong", len(r.Violations))
 			}
 			return nil
 		},
--- a/cmd/curlew/jobs.go
+++ b/cmd/curlewctl/jobs.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"curlewspool/internal/client"
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // stateJSON is a job's state as printed.
@@ -25,7 +25,7 @@
 	Done    *int   `json:"done,omitempty"`
 	Running *int   `json:"running,omitempty"`
 	// Elsewhere is what is at partner clusters, and why.
-	Elsewhere []wire.Elsewhere `json:"elsewhere,omitempty"`
+	Elsewhere []protocol.RemoteTasks `json:"elsewhere,omitempty"`
 	// Awaits is what it waits for, Cause the job with whose cancellation it was withdrawn.
 	Awaits []string `json:"awaits,omitempty"`
 	Cause  string   `json:"cause,omitempty"`
@@ -60,8 +60,8 @@
 	return c, nil
 }
 
-func (a *asker) print(out io.Writer, s *wire.JobState) error {
-	return show(out, a.json, &stateJSON{s.ID, s.Status, s.Done, s.Running, s.Elsewhere, s.Awaits, s.Cause}, func(w io.Writer) { fmt.Fprintln(w, client.Line(s)) })
+func (a *asker) print(out io.Writer, s *protocol.JobState) error {
+	return show(out, a.json, &stateJSON{s.ID, s.Status, s.Done, s.Running, s.Remote, s.PendingDependencies, s.CancelledBy}, func(w io.Writer) { fmt.Fprintln(w, client.Line(s)) })
 }
 
 func jobCommands() []*cobra.Command {
@@ -70,7 +70,7 @@
 
 // words of users for what the outer protocol spells differently.
 var (
-	shapes = map[string]string{"array": wire.Array, "gang": wire.Gang, "service": wire.Service}
+	shapes = map[string]string{"array": protocol.ShapeArray, "gang": protocol.ShapeGang, "service": protocol.ShapeService}
 	ranks  = map[string]string{"prod": "prod", "high": "high", "normal": "standard", "low": "best_effort"}
 )
 
@@ -90,13 +90,13 @@
 	var oneZone, spread, ordinary, wait bool
 	c := &cobra.Command{
 		Use: "submit", Short: "Submit a job", Args: cobra.NoArgs,
-		Example: "  curlew submit --to 127.0.0.1:8080 --tasks 20 --cores 1 --estimate 5 --wait",
+		Example: "  curlewctl submit --to 127.0.0.1:8080 --tasks 20 --cores 1 --estimate 5 --wait",
 		RunE: func(c *cobra.Command, _ []string) error {
 			cl, err := a.client(c.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			sub := &wire.Submission{}
+			sub := &protocol.Submission{}
 			if file != "" {
 				if sub, err = fromFile(file); err != nil {
 					return err
@@ -114,18 +114,18 @@
 					id = "wk-" + uuid.NewString()
 				}
 				spot := !ordinary
-				sub = &wire.Submission{ID: &id, Trade: &class, Crew: &team, Shape: &w, Rank: &r, Pieces: &tasks, Cores: &cores, GPUs: &gpus,
-					Memory: &memory, Kit: &image, PullGb: &imageGb, Builds: types, Together: &oneZone, Apart: &spread, Loaners: &spot,
-					Reckon: &estimate, Mark: &mark, Stow: &save}
+				sub = &protocol.Submission{ID: &id, Class: &class, Team: &team, Shape: &w, Priority: &r, Tasks: &tasks, Cores: &cores, GPUs: &gpus,
+					MemoryGB: &memory, Image: &image, ImageGB: &imageGb, MachineTypes: types, SingleZone: &oneZone, SpreadZones: &spread, AllowSpot: &spot,
+					Estimate: &estimate, CheckpointInterval: &mark, CheckpointDuration: &save}
 				if zone != "" {
-					sub.Yard = &zone
+					sub.Zone = &zone
 				}
 				if due > 0 {
-					sub.Due = &due
+					sub.Deadline = &due
 				}
-				sub.Awaits = awaits
+				sub.Dependencies = awaits
 			}
-			if _, bad := sub.Check(); bad != "" {
+			if _, bad := sub.Validate(); bad != "" {
 				return fmt.Errorf("the job is not valid: %s", bad)
 			}
 			s, err := cl.Submit(c.Context(), sub)
@@ -168,7 +168,7 @@
 	return c
 }
 
-func fromFile(name string) (*wire.Submission, error) {
+func fromFile(name string) (*protocol.Submission, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -180,15 +180,15 @@
 	if n, ok := m["pieces"].(float64); ok && n >= 0 && n == float64(uint64(n)) {
 		m["pieces"] = uint64(n)
 	}
-	s := &wire.Submission{}
-	if err := wire.Decode(wire.Encode(m), s); err != nil {
+	s := &protocol.Submission{}
+	if err := protocol.Decode(protocol.Encode(m), s); err != nil {
 		return nil, fmt.Errorf("%s: a field has the wrong type: %w", name, err)
 	}
 	return s, nil
 }
 
 // each asks for every job named and prints the answers in order.
-func each(a *asker, use, short string, ask func(*cobra.Command, *client.Client, string) (*wire.JobState, error)) *cobra.Command {
+func each(a *asker, use, short string, ask func(*cobra.Command, *client.Client, string) (*protocol.JobState, error)) *cobra.Command {
 	c := &cobra.Command{Use: use + " JOB...", Short: short, Args: cobra.MinimumNArgs(1),
 		RunE: func(c *cobra.Command, ids []string) error {
 			cl, err := a.client(c.ErrOrStderr())
@@ -211,26 +211,26 @@
 }
 
 func statusCommand() *cobra.Command {
-	return each(&asker{}, "status", "Tell the state of jobs", func(c *cobra.Command, cl *client.Client, id string) (*wire.JobState, error) {
+	return each(&asker{}, "status", "Tell the state of jobs", func(c *cobra.Command, cl *client.Client, id string) (*protocol.JobState, error) {
 		return cl.Status(c.Context(), id)
 	})
 }
 
 func abortCommand() *cobra.Command {
-	return each(&asker{}, "abort", "Cancel jobs", func(c *cobra.Command, cl *client.Client, id string) (*wire.JobState, error) {
+	return each(&asker{}, "abort", "Cancel jobs", func(c *cobra.Command, cl *client.Client, id string) (*protocol.JobState, error) {
 		return cl.Abort(c.Context(), id)
 	})
 }
 
 func waitCommand() *cobra.Command {
 	a := &asker{}
-	return each(a, "wait", "Wait until jobs are over; exit status 1 if one was cancelled", func(c *cobra.Command, cl *client.Client, id string) (*wire.JobState, error) {
-		s, err := cl.Wait(c.Context(), id, func(s *wire.JobState) {
+	return each(a, "wait", "Wait until jobs are over; exit status 1 if one was cancelled", func(c *cobra.Command, cl *client.Client, id string) (*protocol.JobState, error) {
+		s, err := cl.Wait(c.Context(), id, func(s *protocol.JobState) {
 			if !client.Over(s) {
 				fmt.Fprintln(c.ErrOrStderr(), client.Line(s))
 			}
 		})
-		if err == nil && s.Status == wire.Withdrawn {
+		if err == nil && s.Status == protocol.JobCancelled {
 			err = errors.New("was cancelled")
 		}
 		return s, err
--- a/cmd/curlew/keys.go
+++ b/cmd/curlewctl/keys.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
-	"curlewspool/internal/keys"
-	"curlewspool/internal/loan"
+	"curlewspool/internal/pki"
+	"curlewspool/internal/remotelease"
 )
 
 func keysCommand() *cobra.Command {
@@ -17,10 +17,10 @@
 	var life time.Duration
 	makeCA := &cobra.Command{Use: "ca", Short: "Make an authority", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if err := keys.MakeCA(dir, name, life); err != nil {
+			if err := pki.MakeCA(dir, name, life); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s/%s is for all partners, %s/%s for nobody else\n", dir, keys.CAFile, dir, keys.CAKeyFile)
+			fmt.Fprintf(c.OutOrStdout(), "%s/%s is for all partners, %s/%s for nobody else\n", dir, pki.CAFile, dir, pki.CAKeyFile)
 			return nil
 		}}
 	makeCA.Flags().StringVar(&dir, "dir", "ca", "folder")
@@ -28,13 +28,13 @@
 	makeCA.Flags().DurationVar(&life, "life", 5*365*24*time.Hour, "how long it is valid")
 	makeCert := &cobra.Command{Use: "cert --cluster NAME", Short: "Make, or renew, a cluster's certificate; controllers take it without a restart", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if !loan.ValidCluster(cluster) {
+			if !remotelease.IsValidClusterName(cluster) {
 				return fmt.Errorf("--cluster %q: must be 1 to 20 of a-z, 0-9 and -", cluster)
 			}
-			if err := keys.MakeCert(dir, ca, cluster, life); err != nil {
+			if err := pki.MakeCert(dir, ca, cluster, life); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s/%s and %s/%s are for the controllers of %s\n", dir, keys.CertFile, dir, keys.KeyFile, cluster)
+			fmt.Fprintf(c.OutOrStdout(), "%s/%s and %s/%s are for the controllers of %s\n", dir, pki.CertFile, dir, pki.KeyFile, cluster)
 			return nil
 		}}
 	makeCert.Flags().StringVar(&dir, "dir", "keys", "folder")
@@ -44,7 +44,7 @@
 	var asJSON bool
 	shows := &cobra.Command{Use: "show FILE", Short: "Tell what a certificate says, with its fingerprint for a pins file", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			list, err := keys.Read(args[0])
+			list, err := pki.ReadCertificates(args[0])
 			if err != nil {
 				return err
 			}
@@ -55,7 +55,7 @@
 			}
 			var out []certJSON
 			for _, x := range list {
-				out = append(out, certJSON{x.Subject.CommonName, x.NotAfter, keys.Fingerprint(x)})
+				out = append(out, certJSON{x.Subject.CommonName, x.NotAfter, pki.Fingerprint(x)})
 			}
 			return show(c.OutOrStdout(), asJSON, out, func(w io.Writer) {
 				for _, x := range out {
--- a/cmd/curlew/look.go
+++ b/cmd/curlewctl/look.go
@@ -19,9 +19,9 @@
 	"go.opentelemetry.io/otel/exporters/stdout/stdouttrace"
 	sdk "go.opentelemetry.io/otel/sdk/trace"
 
+	"curlewspool/internal/controller"
 	"curlewspool/internal/federation"
-	"curlewspool/internal/node"
-	"curlewspool/internal/spans"
+	"curlewspool/internal/tracing"
 )
 
 func traceCommand() *cobra.Command {
@@ -38,7 +38,7 @@
 			var events []federation.Event
 			silent := 0
 			for _, a := range addrs {
-				s, err := node.Ask(a)
+				s, err := controller.FetchState(a)
 				if err != nil { // what the others tell is worth having
 					if silent++; silent == len(addrs) {
 						return err
@@ -69,7 +69,7 @@
 			if err != nil {
 				return err
 			}
-			n, err := spans.Export(c.Context(), events, to)
+			n, err := tracing.Export(c.Context(), events, to)
 			if err != nil {
 				return err
 			}
@@ -113,7 +113,7 @@
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
 	for _, a := range k.addrs {
-		s, err := node.Ask(a)
+		s, err := controller.FetchState(a)
 		if err != nil || !s.Ready {
 			gauge(upDesc, 0, a)
 		} else {
@@ -124,10 +124,10 @@
 		}
 		gauge(liveDesc, float64(s.Jobs), a)
 		gauge(machineDesc, float64(s.Machines), a)
-		gauge(waitingDesc, float64(len(s.Waiting)), a)
+		gauge(waitingDesc, float64(len(s.WaitingJobs)), a)
 		deaf, silent, alone := 0, 0, 0.0
-		for _, p := range s.Parts {
-			deaf, silent = deaf+len(p.Deaf), silent+p.Silent
+		for _, p := range s.Shards {
+			deaf, silent = deaf+len(p.Unreachable), silent+p.Unresponsive
 		}
 		if s.Isolated {
 			alone = 1
@@ -135,16 +135,16 @@
 		gauge(deafDesc, float64(deaf), a)
 		gauge(silentDesc, float64(silent), a)
 		gauge(aloneDesc, alone, a)
-		for name, h := range s.Submits.Parts() {
+		for name, h := range s.SubmitTimes.ByStage() {
 			upTo, all := h.Buckets()
 			ch <- prometheus.MustNewConstHistogram(submitDesc, all, h.Sum, upTo, a, name)
 		}
 		for cause, v := range s.Spent {
 			ch <- prometheus.MustNewConstMetric(spentDesc, prometheus.CounterValue, v, a, cause)
 		}
-		gauge(busyDesc, s.Busiest.Requests, a, "state_requests")
-		gauge(busyDesc, s.Busiest.Changes, a, "state_changes")
-		gauge(busyDesc, s.Busiest.Cloud, a, "cloud_calls")
+		gauge(busyDesc, s.PeakLoad.StoreRequests, a, "state_requests")
+		gauge(busyDesc, s.PeakLoad.StoreMutations, a, "state_changes")
+		gauge(busyDesc, s.PeakLoad.CloudCalls, a, "cloud_calls")
 		gauge(dependDesc, float64(s.Dependencies.Waiting), a, "waiting")
 		gauge(dependDesc, float64(s.Dependencies.Released), a, "released")
 		gauge(dependDesc, float64(s.Dependencies.Cascaded), a, "cascaded")
@@ -153,14 +153,14 @@
 			continue
 		}
 		away := map[string]int{}
-		for _, x := range f.Away {
+		for _, x := range f.Lent {
 			away[x.To]++
 		}
 		for p, n := range away {
 			gauge(awayDesc, float64(n), a, p)
 		}
 		gauge(borrowDesc, float64(len(f.Borrowed)), a)
-		v := reflect.ValueOf(f.Count)
+		v := reflect.ValueOf(f.Counters)
 		for i := range v.NumField() {
 			ch <- prometheus.MustNewConstMetric(loanDesc, prometheus.CounterValue, float64(v.Field(i).Int()), a, v.Type().Field(i).Tag.Get("metric"))
 		}
--- a/cmd/curlew/main.go
+++ b/cmd/curlewctl/main.go
@@ -1,4 +1,4 @@
-// Command curlew is for users and operators of curlewspool: whole clusters on
+// Command curlewctl is for users and operators of curlewspool: whole clusters on
 // the loopback, jobs, and checks of what machines saw.
 package main
 
@@ -11,19 +11,19 @@
 	"github.com/spf13/cobra"
 
 	// The controller is linked so; one tool chain serves both.
-	_ "curlewspool/internal/clib"
+	_ "curlewspool/internal/libc"
 )
 
 func main() {
 	if err := command().Execute(); err != nil {
-		fmt.Fprintln(os.Stderr, "curlew:", err)
+		fmt.Fprintln(os.Stderr, "curlewctl:", err)
 		os.Exit(1)
 	}
 }
 
 func command() *cobra.Command {
 	root := &cobra.Command{
-		Use:           "curlew",
+		Use:           "curlewctl",
 		Short:         "Submit jobs to curlewspool, and run whole clusters on this machine",
 		SilenceErrors: true,
 		SilenceUsage:  true,
--- a/cmd/curlew/nomad.go
+++ b/cmd/curlewctl/nomad.go
@@ -111,7 +111,7 @@
 				for _, n := range p.Jobs {
 					j := n.Job
 					fmt.Fprintf(w, "group %s: %s %s of %d tasks, each %.4g cores, %.4g GPUs, %.4g GB; class %s, team %s, rank %s\n", n.Group, *j.Shape, *j.ID,
-						*j.Pieces, *j.Cores, *j.GPUs, *j.Memory, *j.Trade, *j.Crew, *j.Rank)
+						*j.Tasks, *j.Cores, *j.GPUs, *j.MemoryGB, *j.Class, *j.Team, *j.Priority)
 					for _, a := range n.Assumed {
 						fmt.Fprintln(w, "  assumed:", a)
 					}
--- a/cmd/curlewspool/main.go
+++ b/cmd/curlewspool/main.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 
 	// The platform's rules want a program linked with the system C library.
-	_ "curlewspool/internal/clib"
-	"curlewspool/internal/node"
+	"curlewspool/internal/controller"
+	_ "curlewspool/internal/libc"
 	"curlewspool/internal/settings"
 )
 
@@ -45,7 +45,7 @@
 			// and what the collector is late with.
 			debug.SetMemoryLimit(int64(s.Deployment.Limits.RAM * 0.6 * (1 << 20)))
 			runtime.GOMAXPROCS(1) // the machine has a share of one core
-			return node.Run(s)
+			return controller.Run(s)
 		},
 	}
 	root.PersistentFlags().StringVar(&config, "config", "", "the platform's settings file (TOML)")
@@ -67,7 +67,7 @@
 		Use: "status ADDRESS", Short: "Ask a running controller what it owns and why jobs wait",
 		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			s, err := node.Ask(args[0])
+			s, err := controller.FetchState(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -15,7 +15,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // Client asks the addresses of one cluster, the next when one does not answer.
@@ -65,30 +65,30 @@
 
 // ask repeats a request until it is answered for good: every status but 200,
 // 201, 400, 404 and 422 is asked again, after Retry-After if that is longer.
-func (c *Client) ask(ctx context.Context, method, path string, in any) (*wire.JobState, error) {
+func (c *Client) ask(ctx context.Context, method, path string, in any) (*protocol.JobState, error) {
 	end := time.Now().Add(c.Patience)
 	last := "no answer"
 	for {
 		wait := c.Pause + time.Duration(rand.Int64N(int64(c.Pause)/4+1))
 		status, body, retry := c.once(method, path, in)
-		var p wire.Problem
+		var p protocol.ErrorResponse
 		switch status {
 		case 200, 201:
-			s := &wire.JobState{}
-			if err := wire.Decode(body, s); err != nil {
+			s := &protocol.JobState{}
+			if err := protocol.Decode(body, s); err != nil {
 				return nil, fmt.Errorf("answer not understood: %w", err)
 			}
 			return s, nil
 		case 404:
 			return nil, ErrNone
 		case 400, 422:
-			_ = wire.Decode(body, &p)
+			_ = protocol.Decode(body, &p)
 			return nil, &Refused{status, p.Error}
 		case 0:
 			last = "no answer from " + c.addrs[c.next%len(c.addrs)]
 			c.next++
 		default:
-			_ = wire.Decode(body, &p)
+			_ = protocol.Decode(body, &p)
 			last = fmt.Sprintf("%d %s", status, p.Error)
 			wait = max(wait, min(retry, 30*time.Second))
 		}
@@ -114,7 +114,7 @@
 	req.Header.SetMethod(method)
 	if in != nil {
 		req.Header.SetContentType("application/cbor")
-		req.SetBodyRaw(wire.Encode(in))
+		req.SetBodyRaw(protocol.Encode(in))
 	}
 	if err := c.http.DoTimeout(req, resp, 5*time.Second); err != nil {
 		return 0, nil, 0
@@ -127,26 +127,28 @@
 
 // Submit hands a job over. After a lost answer it is repeated under the same
 // id, which the cluster takes as the same job.
-func (c *Client) Submit(ctx context.Context, s *wire.Submission) (*wire.JobState, error) {
+func (c *Client) Submit(ctx context.Context, s *protocol.Submission) (*protocol.JobState, error) {
 	return c.ask(ctx, "POST", "/v2/runs", s)
 }
 
 // Status asks for a job's state.
-func (c *Client) Status(ctx context.Context, id string) (*wire.JobState, error) {
+func (c *Client) Status(ctx context.Context, id string) (*protocol.JobState, error) {
 	return c.ask(ctx, "GET", "/v2/runs/"+id, nil)
 }
 
 // Abort cancels a job; the answer says whether it was done before.
-func (c *Client) Abort(ctx context.Context, id string) (*wire.JobState, error) {
+func (c *Client) Abort(ctx context.Context, id string) (*protocol.JobState, error) {
 	return c.ask(ctx, "POST", "/v2/runs/"+id+"/abort", nil)
 }
 
 // Over tells whether a state is final.
-func Over(s *wire.JobState) bool { return s.Status == wire.Done || s.Status == wire.Withdrawn }
+func Over(s *protocol.JobState) bool {
+	return s.Status == protocol.JobDone || s.Status == protocol.JobCancelled
+}
 
 // Wait polls until the job is over; each state that differs from the one
 // before is given to changed.
-func (c *Client) Wait(ctx context.Context, id string, changed func(*wire.JobState)) (*wire.JobState, error) {
+func (c *Client) Wait(ctx context.Context, id string, changed func(*protocol.JobState)) (*protocol.JobState, error) {
 	last := ""
 	for {
 		s, err := c.Status(ctx, id)
@@ -171,19 +173,19 @@
 }
 
 // Line is a job's state for people.
-func Line(s *wire.JobState) string {
+func Line(s *protocol.JobState) string {
 	line := s.ID + " " + s.Status
 	if s.Done != nil && s.Running != nil && !Over(s) {
 		line += fmt.Sprintf(" (%d done, %d running)", *s.Done, *s.Running)
 	}
-	if len(s.Awaits) > 0 {
-		line += "; waits for " + strings.Join(s.Awaits, ", ")
+	if len(s.PendingDependencies) > 0 {
+		line += "; waits for " + strings.Join(s.PendingDependencies, ", ")
 	}
-	if s.Cause != "" {
-		line += " with " + s.Cause + ", which it needs"
+	if s.CancelledBy != "" {
+		line += " with " + s.CancelledBy + ", which it needs"
 	}
-	for _, e := range s.Elsewhere {
-		line += fmt.Sprintf("; %d tasks from %d on are at %s: %s", e.Tasks, e.First, e.Cluster, e.Why)
+	for _, e := range s.Remote {
+		line += fmt.Sprintf("; %d tasks from %d on are at %s: %s", e.Tasks, e.FirstTask, e.Cluster, e.Reason)
 	}
 	return line
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // server answers by a script, a line for each request: "cut" takes the request
@@ -28,7 +28,7 @@
 	var sub struct {
 		ID string `cbor:"id"`
 	}
-	_ = wire.Decode(c.PostBody(), &sub)
+	_ = protocol.Decode(c.PostBody(), &sub)
 	s.saw = append(s.saw, string(c.Method())+" "+string(c.Path())+" "+sub.ID)
 	do := "cut"
 	if len(s.script) > 0 {
@@ -36,7 +36,7 @@
 	}
 	state := func(status int, word string) {
 		c.SetStatusCode(status)
-		c.SetBody(wire.Encode(&wire.JobState{ID: "wk-1", Status: word}))
+		c.SetBody(protocol.Encode(&protocol.JobState{ID: "wk-1", Status: word}))
 	}
 	switch do {
 	case "cut":
@@ -45,14 +45,14 @@
 	case "busy":
 		c.Response.Header.Set("Retry-After", "1")
 		c.SetStatusCode(503)
-		c.SetBody(wire.Encode(&wire.Problem{Error: "state service slow"}))
+		c.SetBody(protocol.Encode(&protocol.ErrorResponse{Error: "state service slow"}))
 	case "never":
 		c.SetStatusCode(422)
-		c.SetBody(wire.Encode(&wire.Problem{Error: "unknown team"}))
+		c.SetBody(protocol.Encode(&protocol.ErrorResponse{Error: "unknown team"}))
 	case "none":
 		c.SetStatusCode(404)
 	case "accepted":
-		state(201, wire.Pending)
+		state(201, protocol.JobPending)
 	default:
 		state(200, do)
 	}
@@ -92,7 +92,7 @@
 	} {
 		s, cl := start(t, c.script...)
 		began := time.Now()
-		st, err := cl.Submit(context.Background(), &wire.Submission{ID: &id})
+		st, err := cl.Submit(context.Background(), &protocol.Submission{ID: &id})
 		got := ""
 		var refused *Refused
 		switch {
@@ -121,8 +121,8 @@
 func TestWait(t *testing.T) {
 	_, cl := start(t, "pending", "cut", "pending", "running", "busy", "running", "done")
 	said := ""
-	st, err := cl.Wait(context.Background(), "wk-1", func(s *wire.JobState) { said += s.Status + " " })
-	if err != nil || st.Status != wire.Done || said != "pending running done " {
+	st, err := cl.Wait(context.Background(), "wk-1", func(s *protocol.JobState) { said += s.Status + " " })
+	if err != nil || st.Status != protocol.JobDone || said != "pending running done " {
 		t.Errorf("%+v %v, told %q", st, err, said)
 	}
 	_, cl = start(t, "none")
--- a/internal/node/levels_test.go
+++ b/internal/controller/rosterlevels_test.go
@@ -1,31 +1,31 @@
-package node
+package controller
 
 import (
 	"fmt"
 	"slices"
 	"testing"
 
-	"curlewspool/internal/part"
+	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
-	"curlewspool/internal/wire"
+	"curlewspool/internal/shard"
 )
 
-// filled makes levels with so many machines each.
-func filled(counts ...int) (levels []part.Roster) {
+// rostersWith makes levels with so many machines each.
+func rostersWith(counts ...int) (levels []shard.Roster) {
 	n := 0
 	for _, count := range counts {
-		var r part.Roster
+		var r shard.Roster
 		for range count {
 			n++
-			r.Machines = append(r.Machines, part.MachineRecord{ID: fmt.Sprintf("i-%06d", n), Address: "10.1.0.232:9000", Type: "johnboat", Zone: "delta-room"})
+			r.Machines = append(r.Machines, shard.MachineRecord{ID: fmt.Sprintf("i-%06d", n), Address: "10.1.0.232:9000", Type: "johnboat", Zone: "delta-room"})
 		}
 		levels = append(levels, r)
 	}
 	return levels
 }
 
-// namesOf lists the machines of levels as they are after some were written.
-func namesOf(levels []part.Roster, out map[int]part.Roster) (ids []string) {
+// machineIDs lists the machines of levels as they are after some were written.
+func machineIDs(levels []shard.Roster, out map[int]shard.Roster) (ids []string) {
 	for i := range len(levels) + len(out) {
 		r, written := out[i]
 		if !written && i < len(levels) {
@@ -42,7 +42,7 @@
 // Levels that were written under a limit of 8 or 32 KB are changed under one of 2 KB, with
 // 8 or 4 changes a transaction: what is written fits, in values and in number, no machine
 // is lost or doubled, and whoever may not take levels apart leaves them as they are.
-func TestLevelsUnderLowerLimits(t *testing.T) {
+func TestRosterLevelsFitLowerLimits(t *testing.T) {
 	limit := 1638 // rosterShare of 2 KB
 	for _, c := range []struct {
 		what   string
@@ -59,34 +59,34 @@
 		{"one of 32 KB, few changes a transaction", []int{320}, 4, true, false},
 		{"none", nil, 4, true, false},
 	} {
-		levels := filled(c.counts...)
-		before := namesOf(levels, nil)
-		change := rosterChange{remove: map[string]bool{}, replace: map[string]part.MachineRecord{}}
+		levels := rostersWith(c.counts...)
+		before := machineIDs(levels, nil)
+		change := rosterChange{remove: map[string]bool{}, replace: map[string]shard.MachineRecord{}}
 		if len(before) > 0 {
 			change.remove[before[0]] = true
 			moved := levels[0].Machines[1]
-			moved.Part = 3
+			moved.Shard = 3
 			change.replace[before[1]] = moved
 		}
-		added := filled(40)[0].Machines
+		added := rostersWith(40)[0].Machines
 		for i := range added {
 			added[i].ID = fmt.Sprintf("j-%06d", i)
 			change.add = append(change.add, &added[i])
 		}
-		out, _ := change.spread(levels, limit, c.most, c.apart)
+		out, _ := change.distribute(levels, limit, c.most, c.apart)
 		if len(out) > c.most {
 			t.Errorf("%s: %d levels written, %d are allowed", c.what, len(out), c.most)
 		}
 		for i, r := range out {
 			size := 0
 			for _, m := range r.Machines {
-				size += m.Size()
+				size += m.EncodedSize()
 			}
-			if size > limit || len(wire.Encode(&r)) > 2048 {
+			if size > limit || len(protocol.Encode(&r)) > 2048 {
 				t.Errorf("%s: level %d has %d bytes", c.what, i, size)
 			}
 		}
-		after := namesOf(levels, out)
+		after := machineIDs(levels, out)
 		if len(slices.Compact(slices.Clone(after))) != len(after) {
 			t.Errorf("%s: a machine is there twice", c.what)
 		}
@@ -96,7 +96,7 @@
 			}
 		}
 		if len(before) > 0 {
-			written := slices.ContainsFunc(out[0].Machines, func(m part.MachineRecord) bool { return m.ID == before[1] && m.Part == 3 })
+			written := slices.ContainsFunc(out[0].Machines, func(m shard.MachineRecord) bool { return m.ID == before[1] && m.Shard == 3 })
 			if written != c.moved {
 				t.Errorf("%s: replaced %v, want %v", c.what, written, c.moved)
 			}
@@ -109,16 +109,16 @@
 
 // A machine that moves from one key to another of its group is not gone, in whatever order
 // the two changes are told; one that leaves without is.
-func TestMachineMovesBetweenKeys(t *testing.T) {
+func TestMachineMoveBetweenRosterKeysIsNotARemoval(t *testing.T) {
 	for _, newFirst := range []bool{true, false} {
-		n := &Node{s: &settings.Settings{}, machines: map[string]*part.MachineRecord{}, rosters: map[string][]string{}, enlist: newEnlist(), parts: map[int]*part.Part{}}
-		levels := filled(3)[0].Machines
-		group := groupOf(levels[0].ID)
-		tell := func(level int, machines ...part.MachineRecord) {
-			n.rosterChanged(rosterKey(group, level), wire.Encode(&part.Roster{Machines: machines}))
+		n := &Controller{settings: &settings.Settings{}, machines: map[string]*shard.MachineRecord{}, machinesByRosterKey: map[string][]string{}, enrolment: newPendingEnrolments(), shards: map[int]*shard.Shard{}}
+		levels := rostersWith(3)[0].Machines
+		group := rosterGroupOf(levels[0].ID)
+		tell := func(level int, machines ...shard.MachineRecord) {
+			n.applyRoster(rosterKey(group, level), protocol.Encode(&shard.Roster{Machines: machines}))
 		}
 		tell(0, levels[0])
-		n.rostersRead()
+		n.dropDepartedMachines()
 		if newFirst {
 			tell(1, levels[0])
 			tell(0)
@@ -126,12 +126,12 @@
 			tell(0)
 			tell(1, levels[0])
 		}
-		n.rostersRead()
+		n.dropDepartedMachines()
 		if n.machines[levels[0].ID] == nil {
 			t.Errorf("the new key told first %v: the machine is taken for gone", newFirst)
 		}
 		tell(1)
-		n.rostersRead()
+		n.dropDepartedMachines()
 		if n.machines[levels[0].ID] != nil {
 			t.Errorf("the new key told first %v: the machine is not taken for gone", newFirst)
 		}
--- a/internal/dev/dependency_test.go
+++ b/internal/devcluster/dependency_test.go
@@ -1,4 +1,4 @@
-package dev
+package devcluster
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"time"
 
 	"curlewspool/internal/client"
-	"curlewspool/internal/standin"
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/simulator"
 )
 
 // A cluster of real processes runs a pipeline in its order, says what a job waits for, and
@@ -39,7 +39,7 @@
 	}
 	c.Pause, c.Patience = time.Second/4, time.Minute
 	submit := func(id string, estimate float64, needs ...string) {
-		if _, err := c.Submit(ctx, standin.Spec(id, wire.Array, 2, 1, estimate, standin.After(needs...))); err != nil {
+		if _, err := c.Submit(ctx, simulator.NewSubmission(id, protocol.ShapeArray, 2, 1, estimate, simulator.DependsOn(needs...))); err != nil {
 			t.Fatalf("%s: %v", id, err)
 		}
 	}
@@ -49,18 +49,18 @@
 	submit("wk-long", 600)
 	submit("wk-next", 2, "wk-long")
 	submit("wk-last", 2, "wk-next")
-	if _, err := c.Submit(ctx, standin.Spec("wk-wrong", wire.Array, 1, 1, 1, standin.After("wk-never"))); err == nil {
+	if _, err := c.Submit(ctx, simulator.NewSubmission("wk-wrong", protocol.ShapeArray, 1, 1, 1, simulator.DependsOn("wk-never"))); err == nil {
 		t.Error("a job that needs one that was never submitted was accepted")
 	}
-	if s, err := c.Status(ctx, "wk-third"); err != nil || s.Status != wire.Pending || !slices.Contains(s.Awaits, "wk-second") {
+	if s, err := c.Status(ctx, "wk-third"); err != nil || s.Status != protocol.JobPending || !slices.Contains(s.PendingDependencies, "wk-second") {
 		t.Errorf("the third stage: %+v, %v", s, err)
 	}
-	if s, err := c.Abort(ctx, "wk-long"); err != nil || s.Status != wire.Withdrawn {
+	if s, err := c.Abort(ctx, "wk-long"); err != nil || s.Status != protocol.JobCancelled {
 		t.Errorf("%+v, %v", s, err)
 	}
-	for id, want := range map[string]string{"wk-first": wire.Done, "wk-second": wire.Done, "wk-third": wire.Done, "wk-next": wire.Withdrawn, "wk-last": wire.Withdrawn} {
+	for id, want := range map[string]string{"wk-first": protocol.JobDone, "wk-second": protocol.JobDone, "wk-third": protocol.JobDone, "wk-next": protocol.JobCancelled, "wk-last": protocol.JobCancelled} {
 		s, err := c.Wait(ctx, id, nil)
-		if err != nil || s.Status != want || want == wire.Withdrawn && s.Cause != "wk-long" {
+		if err != nil || s.Status != want || want == protocol.JobCancelled && s.CancelledBy != "wk-long" {
 			t.Errorf("%s: %+v, %v", id, s, err)
 		}
 	}
--- a/internal/dev/dev.go
+++ b/internal/devcluster/devcluster.go
@@ -1,7 +1,7 @@
 // Package dev runs whole clusters on the loopback: the stand-ins of
-// internal/standin by the real clock, and controllers as real processes. It
+// internal/simulator by the real clock, and controllers as real processes. It
 // ends every process that it started, by id, and no other.
-package dev
+package devcluster
 
 import (
 	"cmp"
@@ -22,7 +22,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"curlewspool/internal/settings"
-	"curlewspool/internal/standin"
+	"curlewspool/internal/simulator"
 )
 
 // Plan says what to run.
@@ -80,17 +80,17 @@
 
 // Cluster is one that runs.
 type Cluster struct {
-	Name     string
-	Front    *standin.Front
-	Platform []settings.Platform // one a controller
-	Peers    []string            // an address for other clusters, one a controller
-	Sim      *standin.Sim
-	dir      string
-	procs    []*proc
+	Name      string
+	Front     *simulator.LoadBalancer
+	Platform  []settings.Platform // one a controller
+	Peers     []string            // an address for other clusters, one a controller
+	Simulated *simulator.Cluster
+	dir       string
+	procs     []*proc
 }
 
 // Address is where its users reach it.
-func (c *Cluster) Address() string { return c.Front.Addr }
+func (c *Cluster) Address() string { return c.Front.Address }
 
 type proc struct {
 	name    string
@@ -106,7 +106,7 @@
 // Dev is what runs.
 type Dev struct {
 	Clusters []*Cluster
-	Live     *standin.Live
+	Live     *simulator.LiveNetwork
 	plan     Plan
 	sights   *os.File
 	trace    *os.File
@@ -134,9 +134,9 @@
 	if d.trace, err = os.Create(filepath.Join(p.Dir, "standins.log")); err != nil {
 		return nil, err
 	}
-	n, live := standin.NewLive(uint64(time.Now().UnixNano()))
+	n, live := simulator.NewLiveNetwork(uint64(time.Now().UnixNano()))
 	live.Log = d.trace
-	n.Watch(d.sights)
+	n.WriteObservations(d.sights)
 	d.Live = live
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
@@ -226,11 +226,11 @@
 		t.Limits.CoreShare, t.Limits.RAM, t.Limits.Sockets = 1, 256, 2000
 		c.Platform = append(c.Platform, s)
 	}
-	c.Sim = d.Live.Cluster(name, c.Platform, p.Machines, p.Rentable)
+	c.Simulated = d.Live.AddCluster(name, c.Platform, p.Machines, p.Rentable)
 	for i := range c.Platform {
-		c.Platform[i].Services.State, c.Platform[i].Services.Cloud = c.Sim.State.Addr, c.Sim.Cloud.Addr
+		c.Platform[i].Services.State, c.Platform[i].Services.Cloud = c.Simulated.State.Address, c.Simulated.Cloud.Address
 	}
-	c.Front, err = d.Live.Front(c.Sim)
+	c.Front, err = d.Live.StartLoadBalancer(c.Simulated)
 	return c, err
 }
 
@@ -412,7 +412,7 @@
 	for {
 		all := true
 		for _, c := range d.Clusters {
-			all = all && 2*c.Front.Healthy() > len(c.Platform)
+			all = all && 2*c.Front.HealthyControllers() > len(c.Platform)
 		}
 		if all {
 			return nil
--- a/internal/dev/dev_test.go
+++ b/internal/devcluster/devcluster_test.go
@@ -1,4 +1,4 @@
-package dev
+package devcluster
 
 import (
 	"context"
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"curlewspool/internal/audit"
 	"curlewspool/internal/client"
-	"curlewspool/internal/standin"
-	"curlewspool/internal/wire"
+	"curlewspool/internal/historycheck"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/simulator"
 )
 
 // Two clusters as real processes, more work for west than it holds, and one of
@@ -68,12 +68,12 @@
 				go func() {
 					defer wg.Done()
 					id := fmt.Sprintf("wk-%d", i)
-					_, err := cl.Submit(ctx, standin.Spec(id, wire.Array, tasks, 1, 5, nil))
-					s := &wire.JobState{}
+					_, err := cl.Submit(ctx, simulator.NewSubmission(id, protocol.ShapeArray, tasks, 1, 5, nil))
+					s := &protocol.JobState{}
 					if err == nil {
 						s, err = cl.Wait(ctx, id, nil)
 					}
-					if err != nil || s.Status != wire.Done {
+					if err != nil || s.Status != protocol.JobDone {
 						t.Errorf("%s: %+v %v", id, s, err)
 					}
 				}()
@@ -84,16 +84,16 @@
 				t.Fatal(err)
 			}
 			defer f.Close()
-			r, err := audit.Read(f)
+			r, err := historycheck.Check(f)
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%d starts of %d tasks, finished %v, %d again with their result kept", r.Starts, r.Tasks, r.By, r.Kept)
-			for _, x := range r.Wrong {
+			t.Logf("%d starts of %d tasks, finished %v, %d again with their result kept", r.Starts, r.Tasks, r.ByCluster, r.ResultsReused)
+			for _, x := range r.Violations {
 				t.Error(x)
 			}
-			if r.Finished != jobs*tasks || len(r.Jobs) != jobs || r.By["east"] == 0 && strings.HasPrefix(c.kill, "west") {
-				t.Errorf("%d of %d tasks finished once, of %d jobs, in %v", r.Finished, jobs*tasks, len(r.Jobs), r.By)
+			if r.Finished != jobs*tasks || len(r.Jobs) != jobs || r.ByCluster["east"] == 0 && strings.HasPrefix(c.kill, "west") {
+				t.Errorf("%d of %d tasks finished once, of %d jobs, in %v", r.Finished, jobs*tasks, len(r.Jobs), r.ByCluster)
 			}
 		})
 	}
--- a/internal/dev/red_test.go
+++ b/internal/devcluster/red_test.go
@@ -1,4 +1,4 @@
-package dev
+package devcluster
 
 import (
 	"os"
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -6,22 +6,22 @@
 import (
 	"math"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // Ranker gives ranks 0 to Max from the margins of the last jobs.
 type Ranker struct {
-	Max    int
-	Window int
-	last   []float64
-	sum    float64
-	next   int
+	MaxRank   int
+	Window    int
+	margins   []float64
+	marginSum float64
+	oldest    int
 }
 
 // Margin is the latest start minus the submission. Jobs without a deadline
 // have none; they count as far away (the paper generates 30% of its jobs
 // without a deadline and leaves their rank open).
-func Margin(j *wire.Job) float64 {
+func Margin(j *protocol.Job) float64 {
 	if j.Deadline <= 0 {
 		return math.Inf(1)
 	}
@@ -29,99 +29,101 @@
 }
 
 // Rank classifies j and remembers its margin.
-func (r *Ranker) Rank(j *wire.Job) int {
-	m := Margin(j)
-	rank := r.slice(m)
-	if !math.IsInf(m, 1) {
-		rank = r.correct(rank, m, j.Estimate)
-		r.remember(m)
+func (r *Ranker) Rank(j *protocol.Job) int {
+	margin := Margin(j)
+	rank := r.rankBySlice(margin)
+	if !math.IsInf(margin, 1) {
+		rank = r.correctByEstimate(rank, margin, j.Estimate)
+		r.remember(margin)
 	}
 	return rank
 }
 
-// slice cuts [0, 2 E(margin)] into Max slices of doubling width; the
+// rankBySlice cuts [0, 2 E(margin)] into Max slices of doubling width; the
 // narrowest, next to 0, gives Max.
-func (r *Ranker) slice(margin float64) int {
-	if len(r.last) == 0 || math.IsInf(margin, 1) {
+func (r *Ranker) rankBySlice(margin float64) int {
+	if len(r.margins) == 0 || math.IsInf(margin, 1) {
 		return 0
 	}
-	unit := 2 * r.sum / float64(len(r.last)) / (math.Exp2(float64(r.Max)) - 1)
+	unit := 2 * r.marginSum / float64(len(r.margins)) / (math.Exp2(float64(r.MaxRank)) - 1)
 	edge := 0.0
-	for k := 0; k < r.Max; k++ {
+	for k := 0; k < r.MaxRank; k++ {
 		edge += unit * math.Exp2(float64(k))
 		if margin < edge {
-			return r.Max - k
+			return r.MaxRank - k
 		}
 	}
 	return 0
 }
 
-// correct weighs the margin against the run time, so that long jobs with a
+// correctByEstimate weighs the margin against the run time, so that long jobs with a
 // wide margin are not always last.
-func (r *Ranker) correct(rank int, margin, estimate float64) int {
+func (r *Ranker) correctByEstimate(rank int, margin, estimate float64) int {
 	if estimate <= 0 {
 		return rank
 	}
 	ratio := margin / estimate
 	switch {
 	case ratio >= 1:
-		rank -= int(min(math.Floor(ratio), float64(r.Max)))
+		rank -= int(min(math.Floor(ratio), float64(r.MaxRank)))
 	case ratio <= 0:
-		rank = r.Max
+		rank = r.MaxRank
 	default:
-		rank += int(min(math.Floor(-math.Log2(ratio)), float64(r.Max)))
+		rank += int(min(math.Floor(-math.Log2(ratio)), float64(r.MaxRank)))
 	}
-	return min(max(rank, 0), r.Max)
+	return min(max(rank, 0), r.MaxRank)
 }
 
-func (r *Ranker) remember(m float64) {
-	if len(r.last) < r.Window {
-		r.last = append(r.last, m)
+func (r *Ranker) remember(margin float64) {
+	if len(r.margins) < r.Window {
+		r.margins = append(r.margins, margin)
 	} else {
-		r.sum -= r.last[r.next]
-		r.last[r.next] = m
-		r.next = (r.next + 1) % r.Window
+		r.marginSum -= r.margins[r.oldest]
+		r.margins[r.oldest] = margin
+		r.oldest = (r.oldest + 1) % r.Window
 	}
-	r.sum += m
+	r.marginSum += margin
 }
 
-// Slots describe one part's queue: slot P has the work, and the number of
+// RankSlots describe one part's queue: slot P has the work, and the number of
 // jobs, queued with rank P or above.
-type Slots struct {
-	Load  []float64
-	Count []int
+type RankSlots struct {
+	Work []float64
+	Jobs []int
 }
 
-// NewSlots makes empty slots for ranks 0 to top.
-func NewSlots(top int) Slots { return Slots{make([]float64, top+1), make([]int, top+1)} }
+// NewRankSlots makes empty slots for ranks 0 to top.
+func NewRankSlots(maxRank int) RankSlots {
+	return RankSlots{make([]float64, maxRank+1), make([]int, maxRank+1)}
+}
 
 // Add counts a job, or a chunk of one, of the given rank.
-func (s Slots) Add(rank int, work float64) {
-	for p := 0; p <= rank && p < len(s.Load); p++ {
-		s.Load[p] += work
-		s.Count[p]++
+func (s RankSlots) Add(rank int, work float64) {
+	for p := 0; p <= rank && p < len(s.Work); p++ {
+		s.Work[p] += work
+		s.Jobs[p]++
 	}
 }
 
-// Work is what tasks of j weigh in a slot: estimate times cores and GPUs.
-func Work(j *wire.Job, tasks int) float64 {
+// WorkOf is what tasks of j weigh in a slot: estimate times cores and GPUs.
+func WorkOf(j *protocol.Job, tasks int) float64 {
 	return max(j.Estimate, 1) * (j.Cores + j.GPUs) * float64(tasks)
 }
 
-// Choose picks the part for a job of the given rank among the eligible ones:
+// ChooseShard picks the part for a job of the given rank among the eligible ones:
 // the first with nothing in slot P; else the lowest slot P, ties by the
 // number of jobs there.
-func Choose(parts []Slots, eligible []bool, rank int) int {
+func ChooseShard(shards []RankSlots, eligible []bool, rank int) int {
 	best := -1
-	for i := range parts {
+	for i := range shards {
 		if !eligible[i] {
 			continue
 		}
-		if parts[i].Load[rank] == 0 {
+		if shards[i].Work[rank] == 0 {
 			return i
 		}
-		if best < 0 || parts[i].Load[rank] < parts[best].Load[rank] ||
-			parts[i].Load[rank] == parts[best].Load[rank] && parts[i].Count[rank] < parts[best].Count[rank] {
+		if best < 0 || shards[i].Work[rank] < shards[best].Work[rank] ||
+			shards[i].Work[rank] == shards[best].Work[rank] && shards[i].Jobs[rank] < shards[best].Jobs[rank] {
 			best = i
 		}
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -3,11 +3,11 @@
 import (
 	"testing"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // Mean margin 100 and max 3: [0,200] is cut into 28.6, 57.1 and 114.3.
-func TestRankSlicesAndRatio(t *testing.T) {
+func TestRankBySliceAndEstimate(t *testing.T) {
 	for _, c := range []struct {
 		deadline, estimate float64
 		want               int
@@ -20,39 +20,39 @@
 		{500 + 600, 600, 0},
 		{0, 10, 0}, // no deadline
 	} {
-		r := &Ranker{Max: 3, Window: 10}
-		r.Rank(&wire.Job{Deadline: 200, Estimate: 100})
-		if got := r.Rank(&wire.Job{Deadline: c.deadline, Estimate: c.estimate}); got != c.want {
+		r := &Ranker{MaxRank: 3, Window: 10}
+		r.Rank(&protocol.Job{Deadline: 200, Estimate: 100})
+		if got := r.Rank(&protocol.Job{Deadline: c.deadline, Estimate: c.estimate}); got != c.want {
 			t.Errorf("deadline %v, estimate %v: rank %d, want %d", c.deadline, c.estimate, got, c.want)
 		}
 	}
 }
 
 func TestRankWindow(t *testing.T) {
-	r := &Ranker{Max: 4, Window: 2}
+	r := &Ranker{MaxRank: 4, Window: 2}
 	for _, d := range []float64{1000, 20, 20} {
-		r.Rank(&wire.Job{Deadline: d})
+		r.Rank(&protocol.Job{Deadline: d})
 	}
-	if r.sum != 40 {
-		t.Errorf("the window holds %v, want the last two margins, 40", r.sum)
+	if r.marginSum != 40 {
+		t.Errorf("the window holds %v, want the last two margins, 40", r.marginSum)
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseShard(t *testing.T) {
 	all := []bool{true, true, true}
-	slots := func() []Slots { return []Slots{NewSlots(3), NewSlots(3), NewSlots(3)} }
+	slots := func() []RankSlots { return []RankSlots{NewRankSlots(3), NewRankSlots(3), NewRankSlots(3)} }
 	s := slots()
 	s[0].Add(1, 50) // low rank work does not count for a high one
-	if got := Choose(s, all, 2); got != 0 {
+	if got := ChooseShard(s, all, 2); got != 0 {
 		t.Errorf("part %d, want the first with nothing in slot 2", got)
 	}
 	for i, w := range []float64{30, 20, 40} {
 		s[i].Add(3, w)
 	}
-	if got := Choose(s, all, 2); got != 1 {
+	if got := ChooseShard(s, all, 2); got != 1 {
 		t.Errorf("part %d, want the least loaded", got)
 	}
-	if got := Choose(s, []bool{true, false, true}, 2); got != 0 {
+	if got := ChooseShard(s, []bool{true, false, true}, 2); got != 0 {
 		t.Errorf("part %d, want the least loaded that is eligible", got)
 	}
 	s = slots()
@@ -60,7 +60,7 @@
 	s[0].Add(3, 10)
 	s[1].Add(3, 20)
 	s[2].Add(3, 30)
-	if got := Choose(s, all, 2); got != 1 {
+	if got := ChooseShard(s, all, 2); got != 1 {
 		t.Errorf("part %d, want the one with fewer jobs among equal loads", got)
 	}
 }
--- a/internal/world/world.go
+++ b/internal/env/env.go
@@ -3,17 +3,17 @@
 // on goroutines and hands every answer back through the queue of commands;
 // the one in standin runs in simulated time, so that a run is a deterministic
 // trace.
-package world
+package env
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"curlewspool/internal/mesh"
+	"curlewspool/internal/peermsg"
 )
 
-// World is handed to every slice. All its callbacks run on the owner's loop.
-type World interface {
+// Environment is handed to every slice. All its callbacks run on the owner's loop.
+type Environment interface {
 	// Now is the steady clock, from the start of the process.
 	Now() time.Duration
 	// Wall is the time of day.
@@ -27,7 +27,7 @@
 	// in and out belong to the call until done.
 	Call(addr, method, path string, in, out any, timeout time.Duration, done func(status int))
 	// Send hands a message to another controller, or loses it.
-	Send(member string, e *mesh.Envelope)
+	Send(member string, e *peermsg.Envelope)
 }
 
 // Seconds turns a figure from the settings into a duration.
--- a/internal/blame/blame_test.go
+++ b/internal/faults/faults_test.go
@@ -1,4 +1,4 @@
-package blame
+package faults
 
 import (
 	"fmt"
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-var prior = Prior{Mistaken: 0.02, Sick: 0.005, Accident: 0.001}
+var testPriors = Priors{FaultyJob: 0.02, FaultyMachine: 0.005, Transient: 0.001}
 
-// fails notes failures written as "job:machine", words "job+" for one that ended well
+// recordEvents notes failures written as "job:machine", words "job+" for one that ended well
 // and "machine+" likewise (jobs are lower case, machines upper).
-func fails(b *Book, events ...string) {
+func recordEvents(b *Attribution, events ...string) {
 	for _, e := range events {
 		switch {
 		case len(e) == 2 && e[1] == '+' && e[0] >= 'a':
-			b.Works(e[:1])
+			b.RecordJobSuccess(e[:1])
 		case len(e) == 2 && e[1] == '+':
-			b.Well(e[:1])
+			b.RecordMachineSuccess(e[:1])
 		default:
-			b.Failed(e[:1], e[2:])
+			b.RecordFailure(e[:1], e[2:])
 		}
 	}
 }
 
 // Who fails with whom: a reader's table of what is held against job a and machine A.
-func TestWhoIsToBlame(t *testing.T) {
+func TestAttribution(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		events   []string
@@ -40,12 +40,12 @@
 		{"a sick machine beside a mistaken job", []string{"a:A", "a:B", "a:C", "b:A", "b:A", "b+"}, "yes", "yes"},
 		{"a machine that ran something well since", []string{"a:A", "b:A", "A+"}, "yes", "no"},
 	} {
-		b := New(prior)
-		fails(b, c.events...)
+		b := New(testPriors)
+		recordEvents(b, c.events...)
 		for _, v := range []struct {
 			of, want string
 			p        float64
-		}{{"job", c.job, b.Job("a")}, {"machine", c.mac, b.Machine("A")}} {
+		}{{"job", c.job, b.JobFaultProbability("a")}, {"machine", c.mac, b.MachineFaultProbability("A")}} {
 			got := "?"
 			if v.p >= 0.9 {
 				got = "yes"
@@ -62,29 +62,29 @@
 // What was held against a machine stays when the job that showed it is over, and the
 // other way round; a machine that is gone and comes again begins anew.
 func TestEvidenceOutlivesTheOtherSide(t *testing.T) {
-	b := New(prior)
-	fails(b, "a:A", "a:A", "a+")
-	b.Over("a")
-	if p := b.Machine("A"); p < 0.99 {
+	b := New(testPriors)
+	recordEvents(b, "a:A", "a:A", "a+")
+	b.ForgetJob("a")
+	if p := b.MachineFaultProbability("A"); p < 0.99 {
 		t.Errorf("a sick machine is forgiven (%.3f) as its witness ended", p)
 	}
-	fails(b, "b:B", "b:C", "b:D")
+	recordEvents(b, "b:B", "b:C", "b:D")
 	for _, m := range []string{"B", "C", "D"} {
-		b.Gone(m)
+		b.ForgetMachine(m)
 	}
-	if p := b.Job("b"); p < 0.9 {
+	if p := b.JobFaultProbability("b"); p < 0.9 {
 		t.Errorf("a mistaken job is forgiven (%.3f) as its machines went", p)
 	}
-	b.Gone("A")
-	if p := b.Machine("A"); p != 0 {
+	b.ForgetMachine("A")
+	if p := b.MachineFaultProbability("A"); p != 0 {
 		t.Errorf("a new machine of an old name is in doubt (%.3f)", p)
 	}
-	b.Inherit("d", 9)
-	if p, a := b.Job("d"), b.Against("d"); p < 0.9 || a < 8.9 {
+	b.InheritJobOdds("d", 9)
+	if p, a := b.JobFaultProbability("d"), b.LocalJobOdds("d"); p < 0.9 || a < 8.9 {
 		t.Errorf("inherited: likely %.3f, told on as own evidence %.3f", p, a)
 	}
-	b.Hear("c", 9)
-	if p, a := b.Job("c"), b.Against("c"); p < 0.9 || a > 0 {
+	b.SetRemoteJobOdds("c", 9)
+	if p, a := b.JobFaultProbability("c"), b.LocalJobOdds("c"); p < 0.9 || a > 0 {
 		t.Errorf("heard from others: likely %.3f, told on as own evidence %.3f", p, a)
 	}
 }
@@ -92,7 +92,7 @@
 // How often the verdict is wrong, either way, over random histories: 60 machines, jobs
 // of 1 to 40 tasks, a share mistaken, some machines sick, all mixed. (A count of two
 // jobs had five healthy machines returned in the first minute of a simulated day.)
-func TestHowOftenItIsWrong(t *testing.T) {
+func TestAttributionErrorRates(t *testing.T) {
 	for _, c := range []struct {
 		mistaken, sick             float64
 		goodHeld, goodReturned     float64 // most that may be judged wrongly
@@ -106,7 +106,7 @@
 		r := rand.New(rand.NewPCG(7, 1))
 		var wrongJobs, goodJobs, missedJobs, badJobs, wrongMs, goodMs, missedMs, badMs float64
 		for range c.histories {
-			b := New(prior)
+			b := New(testPriors)
 			sick, held, returned := map[string]bool{}, map[string]bool{}, map[string]bool{}
 			failed := map[string]int{}
 			for m := range c.machines {
@@ -121,17 +121,17 @@
 						continue // no more is tried
 					}
 					if bad || sick[m] {
-						b.Failed(job, m)
+						b.RecordFailure(job, m)
 						failed[m]++
 						tried++
 					} else {
-						b.Works(job)
-						b.Well(m)
+						b.RecordJobSuccess(job)
+						b.RecordMachineSuccess(m)
 					}
-					held[job] = b.Job(job) >= 0.9
-					if b.Machine(m) >= 0.99 {
+					held[job] = b.JobFaultProbability(job) >= 0.9
+					if b.MachineFaultProbability(m) >= 0.99 {
 						returned[m] = true
-						b.Gone(m)
+						b.ForgetMachine(m)
 					}
 				}
 				if bad && tried >= 2 {
@@ -145,7 +145,7 @@
 						wrongJobs++
 					}
 				}
-				b.Over(job)
+				b.ForgetJob(job)
 			}
 			for m, is := range sick {
 				if is && failed[m] >= 2 {
--- a/internal/federation/desk.go
+++ b/internal/federation/desk.go
@@ -8,118 +8,118 @@
 	"strings"
 	"time"
 
-	"curlewspool/internal/ledger"
-	"curlewspool/internal/loan"
-	"curlewspool/internal/part"
+	"curlewspool/internal/env"
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/remotelease"
 	"curlewspool/internal/settings"
-	"curlewspool/internal/wire"
-	"curlewspool/internal/world"
+	"curlewspool/internal/shard"
 )
 
 // Host is what the desk needs of its controller.
 type Host interface {
 	Now() time.Duration
-	Wall() float64
-	Chance() *rand.Rand
+	WallSeconds() float64
+	Rand() *rand.Rand
 	Settings() *settings.Settings
-	Ledger() *ledger.Ledger
-	// Leads: leadership is held and the grant is valid; LeadGuard is the
+	Store() *kvstore.Store
+	// IsLeader: leadership is held and the grant is valid; LeadGuard is the
 	// condition under which it was.
-	Leads() bool
-	LeadGuard() wire.Cond
-	Job(id string) *part.JobRecord
-	// Progress is what the ledger says of a job's tasks.
-	Progress(id string) (done [][2]int, running int)
-	// Waiting lists the chunks that wait for room.
-	Waiting() []*Waiting
-	// Room gives a count, for each part, of the tasks of a borrowed job that
+	IsLeader() bool
+	LeaderCondition() protocol.Condition
+	Job(id string) *shard.JobRecord
+	// StoredProgress is what the ledger says of a job's tasks.
+	StoredProgress(id string) (done [][2]int, running int)
+	// WaitingChunks lists the chunks that wait for room.
+	WaitingChunks() []*WaitingChunk
+	// StartableCounter gives a count, for each part, of the tasks of a borrowed job that
 	// would start now, in room that nothing of this cluster waits for.
-	Room() func(j *wire.Job) []int
-	// Cores of all machines.
-	Cores() float64
-	// Place chooses a part for a job that comes in, or comes back.
-	Place(j *wire.Job, rank int) int
-	// LendOut asks the owner of a chunk to lend it.
-	LendOut(o *part.Order)
-	// Loans lists the borrowed jobs of the parts that are owned here.
-	Loans(f func(p *part.Part, rec *part.JobRecord, permit *loan.Permit))
-	// News hurries the caches of the other controllers.
-	News(id string)
-}
-
-// Line reaches a partner's controller; the callee knows the caller by its
+	StartableCounter() func(j *protocol.Job) []int
+	// TotalCores of all machines.
+	TotalCores() float64
+	// PlaceJob chooses a part for a job that comes in, or comes back.
+	PlaceJob(j *protocol.Job, rank int) int
+	// OrderLend asks the owner of a chunk to lend it.
+	OrderLend(o *shard.LendOrder)
+	// EachBorrowedJob lists the borrowed jobs of the parts that are owned here.
+	EachBorrowedJob(f func(p *shard.Shard, rec *shard.JobRecord, permit *remotelease.Permit))
+	// AnnounceChange hurries the caches of the other controllers.
+	AnnounceChange(id string)
+}
+
+// PartnerClient reaches a partner's controller; the callee knows the caller by its
 // certificate. Status 0: no answer.
-type Line interface {
-	Ask(partner, addr, path string, in, out any, timeout time.Duration, done func(status int))
-}
-
-// Desk belongs to the owner's loop.
-type Desk struct {
-	h    Host
-	line Line
-	f    *settings.Federation
-
-	away     map[string]bool // jobs with chunks that are lent
-	borrowed map[string]bool
-
-	tenure   uint64 // of this leadership
-	renewals *loan.Renewals
-	out      map[loan.Key]*out
-	tried    map[chunk]time.Duration  // chunks that were offered; not again before
-	orders   map[uint64]time.Duration // offers for which a chunk was ordered to be lent
-	near     map[string]*neighbour
-	order    []string
-
-	offers  map[uint64]*offer
-	offerNo uint64
-	flags   map[string]bool // writes under way
-	over    *part.Finals
-
-	Count Counters
-	log   Log
-}
-
-// chunk is one of a job's.
-type chunk struct {
-	job string
-	c   int
-}
-
-// neighbour is a partner as this controller sees it.
-type neighbour struct {
-	p        *settings.Partner
-	at       int // of its addresses
-	offering bool
-	asking   bool
-	renewing bool
-	offersAt time.Duration
-	statesAt time.Duration
-	renewAt  time.Duration
-	misses   int // offers that had nothing, in a row
-	ended    map[string]bool
-}
-
-// out is one loan of ours.
-type out struct {
-	key      loan.Key
-	a        part.Away
-	tasks    int
-	since    time.Duration
-	accepted bool
-	refused  string
-	handing  bool
-	handAt   time.Duration
-	back     bool // the write that takes it back is under way
-	over     bool // by the host's durable word
-	state    string
-	running  int
-	done     [][2]int // by the loan's numbers, as the host's ledger says
-	stored   int      // of them, known to our ledger
-	saving   bool
-	savedAt  time.Duration
-}
-
-type offer struct {
+type PartnerClient interface {
+	CallPartner(partner, addr, path string, in, out any, timeout time.Duration, done func(status int))
+}
+
+// Broker belongs to the owner's loop.
+type Broker struct {
+	host     Host
+	client   PartnerClient
+	settings *settings.Federation
+
+	lentJobs     map[string]bool // jobs with chunks that are lent
+	borrowedJobs map[string]bool
+
+	fencingToken uint64 // of this leadership
+	renewals     *remotelease.Renewals
+	lentLeases   map[remotelease.Key]*lentLease
+	retryAfter   map[jobChunk]time.Duration // chunks that were offered; not again before
+	lendOrders   map[uint64]time.Duration   // offers for which a chunk was ordered to be lent
+	partners     map[string]*partner
+	partnerNames []string
+
+	offers    map[uint64]*heldOffer
+	lastOffer uint64
+	flagging  map[string]bool // writes under way
+	finished  *shard.FinalCache
+
+	Counters Counters
+	events   eventLog
+}
+
+// jobChunk is one of a job's.
+type jobChunk struct {
+	job   string
+	index int
+}
+
+// partner is a partner as this controller sees it.
+type partner struct {
+	settings             *settings.Partner
+	addressIndex         int // of its addresses
+	isRequestingOffers   bool
+	isRequestingStates   bool
+	isRequestingRenewals bool
+	nextOffersAt         time.Duration
+	nextStatesAt         time.Duration
+	nextRenewalAt        time.Duration
+	emptyOffers          int // offers that had nothing, in a row
+	ended                map[string]bool
+}
+
+// lentLease is one loan of ours.
+type lentLease struct {
+	key            remotelease.Key
+	away           shard.LentChunk
+	tasks          int
+	since          time.Duration
+	accepted       bool
+	refusal        string
+	isHandingOver  bool
+	nextHandOverAt time.Duration
+	isReturning    bool // the write that takes it back is under way
+	finishedAtHost bool // by the host's durable word
+	state          string
+	running        int
+	done           [][2]int // by the loan's numbers, as the host's ledger says
+	stored         int      // of them, known to our ledger
+	isSaving       bool
+	savedAt        time.Duration
+}
+
+type heldOffer struct {
 	home  string
 	tasks int
 	cores float64
@@ -145,85 +145,85 @@
 	RenewalsMissed int `metric:"renewals_missed"`
 }
 
-// remembered ends of borrowed jobs.
-const remembered = 4096
+// maxFinishedLeases ends of borrowed jobs.
+const maxFinishedLeases = 4096
 
 // New makes a desk; nil settings: none is needed.
-func New(h Host, line Line, f *settings.Federation) *Desk {
-	d := &Desk{h: h, line: line, f: f, away: map[string]bool{}, borrowed: map[string]bool{}, renewals: loan.NewRenewals(h.Now()),
-		out: map[loan.Key]*out{}, tried: map[chunk]time.Duration{}, orders: map[uint64]time.Duration{}, near: map[string]*neighbour{}, offers: map[uint64]*offer{},
-		flags: map[string]bool{}, over: part.NewFinals(remembered)}
+func New(h Host, line PartnerClient, f *settings.Federation) *Broker {
+	d := &Broker{host: h, client: line, settings: f, lentJobs: map[string]bool{}, borrowedJobs: map[string]bool{}, renewals: remotelease.NewRenewals(h.Now()),
+		lentLeases: map[remotelease.Key]*lentLease{}, retryAfter: map[jobChunk]time.Duration{}, lendOrders: map[uint64]time.Duration{}, partners: map[string]*partner{}, offers: map[uint64]*heldOffer{},
+		flagging: map[string]bool{}, finished: shard.NewFinalCache(maxFinishedLeases)}
 	for i := range f.Partners {
 		p := &f.Partners[i]
-		d.order = append(d.order, p.Name)
-		d.near[p.Name] = &neighbour{p: p, at: h.Chance().IntN(len(p.Addresses)), ended: map[string]bool{}}
+		d.partnerNames = append(d.partnerNames, p.Name)
+		d.partners[p.Name] = &partner{settings: p, addressIndex: h.Rand().IntN(len(p.Addresses)), ended: map[string]bool{}}
 	}
 	return d
 }
 
 // Reserved tells whether an id belongs to a borrowed job; such ids are not for users.
-func Reserved(id string) bool { return strings.HasPrefix(id, loan.Prefix) }
+func Reserved(id string) bool { return strings.HasPrefix(id, remotelease.JobIDPrefix) }
 
-// Changed takes a live job's record; nil: it is over.
-func (d *Desk) Changed(id string, rec *part.JobRecord) {
+// JobChanged takes a live job's record; nil: it is over.
+func (d *Broker) JobChanged(id string, rec *shard.JobRecord) {
 	if rec != nil && rec.Loan != nil {
-		d.borrowed[id] = true
+		d.borrowedJobs[id] = true
 		return
 	}
-	if d.borrowed[id] {
-		delete(d.borrowed, id)
-		delete(d.flags, id)
+	if d.borrowedJobs[id] {
+		delete(d.borrowedJobs, id)
+		delete(d.flagging, id)
 	}
-	if rec != nil && len(rec.Away) > 0 {
-		d.away[id] = true
+	if rec != nil && len(rec.LentChunks) > 0 {
+		d.lentJobs[id] = true
 		return
 	}
-	delete(d.away, id)
+	delete(d.lentJobs, id)
 }
 
 // Reset forgets what the ledger said.
-func (d *Desk) Reset() { d.away, d.borrowed = map[string]bool{}, map[string]bool{} }
+func (d *Broker) Reset() { d.lentJobs, d.borrowedJobs = map[string]bool{}, map[string]bool{} }
 
-// Lead starts a leadership under the given token. An earlier leader answered
+// StartLeadership starts a leadership under the given token. An earlier leader answered
 // renewals only on proof that it led, so it did so before now.
-func (d *Desk) Lead(token uint64) {
-	d.tenure = token
-	d.renewals = loan.NewRenewals(d.h.Now())
-	d.out, d.offers, d.orders = map[loan.Key]*out{}, map[uint64]*offer{}, map[uint64]time.Duration{}
+func (d *Broker) StartLeadership(token uint64) {
+	d.fencingToken = token
+	d.renewals = remotelease.NewRenewals(d.host.Now())
+	d.lentLeases, d.offers, d.lendOrders = map[remotelease.Key]*lentLease{}, map[uint64]*heldOffer{}, map[uint64]time.Duration{}
 }
 
-func (d *Desk) report() time.Duration {
-	return world.Seconds(d.h.Settings().Deployment.Workers.Report)
+func (d *Broker) reportInterval() time.Duration {
+	return env.Seconds(d.host.Settings().Deployment.Workers.Report)
 }
 
 // jitter spreads a pause by a quarter either way.
-func (d *Desk) jitter(t time.Duration) time.Duration {
-	return t*3/4 + time.Duration(d.h.Chance().Int64N(int64(t)/2+1))
+func (d *Broker) jitter(t time.Duration) time.Duration {
+	return t*3/4 + time.Duration(d.host.Rand().Int64N(int64(t)/2+1))
 }
 
 // Tick is called at each heartbeat.
-func (d *Desk) Tick() {
-	now := d.h.Now()
-	if d.h.Leads() {
-		d.mind(now)
-		for _, name := range d.order {
-			nb := d.near[name]
-			d.askStates(nb, now)
-			d.askOffers(nb, now)
+func (d *Broker) Tick() {
+	now := d.host.Now()
+	if d.host.IsLeader() {
+		d.stepLentLeases(now)
+		for _, name := range d.partnerNames {
+			nb := d.partners[name]
+			d.requestStates(nb, now)
+			d.requestOffers(nb, now)
 		}
 	}
-	for _, name := range d.order {
-		d.askRenewals(d.near[name], now)
+	for _, name := range d.partnerNames {
+		d.requestRenewals(d.partners[name], now)
 	}
 }
 
-// ask sends one request to a controller of a partner; after one that does not
+// callPartner sends one request to a controller of a partner; after one that does not
 // answer, or is not the leader, the next is asked.
-func (d *Desk) ask(nb *neighbour, path string, in, out any, done func(status int)) {
-	addr := nb.p.Addresses[nb.at%len(nb.p.Addresses)]
-	d.line.Ask(nb.p.Name, addr, path, in, out, min(2*time.Second, d.report()), func(status int) {
+func (d *Broker) callPartner(nb *partner, path string, in, out any, done func(status int)) {
+	addr := nb.settings.Addresses[nb.addressIndex%len(nb.settings.Addresses)]
+	d.client.CallPartner(nb.settings.Name, addr, path, in, out, min(2*time.Second, d.reportInterval()), func(status int) {
 		if status == 0 || status == 421 || status == 503 {
-			nb.at++
+			nb.addressIndex++
 		}
 		done(status)
 	})
@@ -231,285 +231,287 @@
 
 // --- home ---
 
-func loanKey(job string, a *part.Away) loan.Key { return loan.Key{Job: job, First: a.First, No: a.No} }
+func leaseKey(job string, a *shard.LentChunk) remotelease.Key {
+	return remotelease.Key{Job: job, FirstTask: a.FirstTask, Number: a.LoanNumber}
+}
 
-// mind looks after every loan of ours.
-func (d *Desk) mind(now time.Duration) {
-	live := map[loan.Key]bool{}
-	for _, id := range slices.Sorted(maps.Keys(d.away)) {
-		rec := d.h.Job(id)
+// stepLentLeases looks after every loan of ours.
+func (d *Broker) stepLentLeases(now time.Duration) {
+	live := map[remotelease.Key]bool{}
+	for _, id := range slices.Sorted(maps.Keys(d.lentJobs)) {
+		rec := d.host.Job(id)
 		if rec == nil {
 			continue
 		}
-		for _, a := range rec.Away {
-			k := loanKey(id, &a)
+		for _, a := range rec.LentChunks {
+			k := leaseKey(id, &a)
 			live[k] = true
-			o := d.out[k]
+			o := d.lentLeases[k]
 			if o == nil {
-				from, to := rec.Span(a.Chunk)
-				o = &out{key: k, a: a, tasks: to - from, since: now}
-				o.stored = count(within(rec.Done, from, to-from))
-				d.out[k] = o
-				if a.By == d.tenure {
-					d.renewals.Drawn(k)
-					d.Count.Lent++
-					d.note(k.ID(d.f.Cluster), "lent", a.Why)
+				from, to := rec.TaskRange(a.Chunk)
+				o = &lentLease{key: k, away: a, tasks: to - from, since: now}
+				o.stored = countTasks(rangesWithin(rec.DoneRanges, from, to-from))
+				d.lentLeases[k] = o
+				if a.LeaderToken == d.fencingToken {
+					d.renewals.RecordIssued(k)
+					d.Counters.Lent++
+					d.recordEvent(k.JobID(d.settings.Cluster), "lent", a.Reason)
 				} else {
 					o.accepted = true // perhaps; its state tells
 				}
 			}
-			d.step(o, rec, now)
+			d.stepLease(o, rec, now)
 		}
 	}
-	for k, o := range d.out {
+	for k, o := range d.lentLeases {
 		if !live[k] {
-			delete(d.out, k)
-			if nb := d.near[o.a.To]; nb != nil && !o.back && len(nb.ended) < mostLoans {
-				nb.ended[k.ID(d.f.Cluster)] = true // cancelled: the host is told before the term ends
+			delete(d.lentLeases, k)
+			if nb := d.partners[o.away.Partner]; nb != nil && !o.isReturning && len(nb.ended) < maxLeases {
+				nb.ended[k.JobID(d.settings.Cluster)] = true // cancelled: the host is told before the term ends
 			}
 		}
 	}
-	d.renewals.Keep(func(k loan.Key) bool { return live[k] })
-	for of, t := range d.orders {
+	d.renewals.Retain(func(k remotelease.Key) bool { return live[k] })
+	for of, t := range d.lendOrders {
 		if now > t {
-			delete(d.orders, of)
+			delete(d.lendOrders, of)
 		}
 	}
-	for k, t := range d.tried {
+	for k, t := range d.retryAfter {
 		if now > t {
-			delete(d.tried, k)
+			delete(d.retryAfter, k)
 		}
 	}
 }
 
-func (o *out) rules() loan.Rules {
-	return loan.Rules{Term: time.Duration(o.a.TermMs) * time.Millisecond, Lease: time.Duration(o.a.LeaseMs) * time.Millisecond, Drift: settings.Drift}
+func (o *lentLease) rules() remotelease.Rules {
+	return remotelease.Rules{Term: time.Duration(o.away.TermMillis) * time.Millisecond, MachineLease: time.Duration(o.away.LeaseMillis) * time.Millisecond, ClockDrift: settings.Drift}
 }
 
-func (d *Desk) step(o *out, rec *part.JobRecord, now time.Duration) {
-	if o.back {
+func (d *Broker) stepLease(o *lentLease, rec *shard.JobRecord, now time.Duration) {
+	if o.isReturning {
 		return
 	}
 	rules := o.rules()
-	last, held := d.renewals.Last(o.key)
-	quiet := d.renewals.Over(o.key, rules, now)
+	last, held := d.renewals.LastRenewal(o.key)
+	quiet := d.renewals.IsExpired(o.key, rules, now)
 	switch {
-	case o.over:
+	case o.finishedAtHost:
 		d.takeBack(o, "the partner gave it back", true)
-	case o.refused != "" && quiet:
-		d.takeBack(o, o.refused, false)
+	case o.refusal != "" && quiet:
+		d.takeBack(o, o.refusal, false)
 	case held && quiet:
-		d.Count.Lapsed++
-		slog.Info("federation: a loan's term ran out", "job", o.key.Job, "loan", o.key.No, "at", o.a.To, "silent", now-last)
+		d.Counters.Lapsed++
+		slog.Info("federation: a loan's term ran out", "job", o.key.Job, "loan", o.key.Number, "at", o.away.Partner, "silent", now-last)
 		d.takeBack(o, "its term ran out", false)
 	case !held && now-o.since > rules.Term:
 		d.takeBack(o, "the partner did not take it in time", false)
-	case !o.accepted && o.refused == "" && !o.handing && now >= o.handAt:
-		d.hand(o, rec, now)
-	case o.accepted && count(o.done) > o.stored && !o.saving && now-o.savedAt > d.saveEvery(len(d.out)):
-		d.save(o, now)
+	case !o.accepted && o.refusal == "" && !o.isHandingOver && now >= o.nextHandOverAt:
+		d.handOver(o, rec, now)
+	case o.accepted && countTasks(o.done) > o.stored && !o.isSaving && now-o.savedAt > d.progressSaveInterval(len(d.lentLeases)):
+		d.saveProgress(o, now)
 	}
 }
 
-// saveEvery spaces the writes of what partners finished: together they use at
+// progressSaveInterval spaces the writes of what partners finished: together they use at
 // most an eighth of a member's share of the state's changes.
-func (d *Desk) saveEvery(loans int) time.Duration {
-	s := d.h.Settings()
+func (d *Broker) progressSaveInterval(loans int) time.Duration {
+	s := d.host.Settings()
 	share := s.Deployment.State.WriteRPS / 8 / float64(len(s.Names()))
-	return max(d.report(), world.Seconds(float64(loans)/share))
+	return max(d.reportInterval(), env.Seconds(float64(loans)/share))
 }
 
-// hand asks the partner to take a loan; it may be repeated.
-func (d *Desk) hand(o *out, rec *part.JobRecord, now time.Duration) {
-	nb := d.near[o.a.To]
+// handOver asks the partner to take a loan; it may be repeated.
+func (d *Broker) handOver(o *lentLease, rec *shard.JobRecord, now time.Duration) {
+	nb := d.partners[o.away.Partner]
 	if nb == nil {
-		o.refused = "it is no partner any more"
+		o.refusal = "it is no partner any more"
 		return
 	}
-	id := o.key.ID(d.f.Cluster)
+	id := o.key.JobID(d.settings.Cluster)
 	j := rec.Job
 	j.Tasks = o.tasks
 	if j.Deadline > 0 {
-		j.Deadline = max(1, j.Deadline-(d.h.Wall()-rec.At))
+		j.Deadline = max(1, j.Deadline-(d.host.WallSeconds()-rec.AcceptedAt))
 	}
 	j.ID = id
-	ask := &LoanAsk{ID: id, Job: j, Offer: o.a.Offer, Done: within(rec.Done, o.key.First, o.tasks), TermMs: o.a.TermMs}
-	o.handing = true
-	got := &State{}
-	d.ask(nb, PathLoans, ask, got, func(status int) {
-		o.handing = false
-		o.handAt = d.h.Now() + d.jitter(d.report()/2)
+	ask := &LeaseRequest{ID: id, Job: j, Offer: o.away.OfferID, Done: rangesWithin(rec.DoneRanges, o.key.FirstTask, o.tasks), TermMs: o.away.TermMillis}
+	o.isHandingOver = true
+	got := &LeaseState{}
+	d.callPartner(nb, PathLeases, ask, got, func(status int) {
+		o.isHandingOver = false
+		o.nextHandOverAt = d.host.Now() + d.jitter(d.reportInterval()/2)
 		switch status {
 		case 200:
 			o.accepted = true
-			d.Count.Accepted++
-			d.note(id, "accepted", "")
-			d.heard(o, got)
+			d.Counters.Accepted++
+			d.recordEvent(id, "accepted", "")
+			d.applyState(o, got)
 		case 400, 403, 409:
-			o.refused = "the partner refused it"
-			d.Count.Refused++
-			d.note(id, "refused", "")
-			nb.misses++
+			o.refusal = "the partner refused it"
+			d.Counters.Refused++
+			d.recordEvent(id, "refused", "")
+			nb.emptyOffers++
 		}
 	})
 }
 
-// heard takes what the partner says of a loan.
-func (d *Desk) heard(o *out, s *State) {
+// applyState takes what the partner says of a loan.
+func (d *Broker) applyState(o *lentLease, s *LeaseState) {
 	if o.state != s.State && s.State == StateRunning {
-		d.note(o.key.ID(d.f.Cluster), "running", "")
+		d.recordEvent(o.key.JobID(d.settings.Cluster), "running", "")
 	}
 	o.state = s.State
 	switch s.State {
 	case StateQueued, StateRunning:
 		o.accepted = true
 		o.running = s.Running
-		o.done = shift(s.Done, 0, o.tasks)
-	case StateOver:
+		o.done = shiftRanges(s.Done, 0, o.tasks)
+	case StateFinished:
 		o.running = 0
-		o.over = true
-		o.done = shift(s.Done, 0, o.tasks)
+		o.finishedAtHost = true
+		o.done = shiftRanges(s.Done, 0, o.tasks)
 	case StateUnknown:
 		o.accepted = false // if the offer still stands it is handed over again
 	}
 }
 
-// rewrite changes a live job's record, as the leader. edit gets a copy, of which
+// updateJobRecord changes a live job's record, as the leader. edit gets a copy, of which
 // it may replace fields but not change what they hold; false: nothing is to be
 // written.
-func (d *Desk) rewrite(urgency int, id string, edit func(r *part.JobRecord) bool, done func(ok bool)) {
-	l, key := d.h.Ledger(), part.JobKey(id)
-	l.Write(urgency, &ledger.Write{
-		Build: func(nonce string) ([]wire.Cond, []wire.Op) {
-			rec := d.h.Job(id)
-			if rec == nil || !d.h.Leads() {
+func (d *Broker) updateJobRecord(urgency int, id string, edit func(r *shard.JobRecord) bool, done func(ok bool)) {
+	l, key := d.host.Store(), shard.JobKey(id)
+	l.Write(urgency, &kvstore.WriteRequest{
+		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
+			rec := d.host.Job(id)
+			if rec == nil || !d.host.IsLeader() {
 				return nil, nil
 			}
 			r := *rec
-			if r.W = nonce; !edit(&r) {
+			if r.Nonce = nonce; !edit(&r) {
 				return nil, nil
 			}
-			return []wire.Cond{d.h.LeadGuard(), l.Stamp(key)}, []wire.Op{{Put: key, Value: wire.Encode(&r)}}
+			return []protocol.Condition{d.host.LeaderCondition(), l.UnchangedCondition(key)}, []protocol.Mutation{{Put: key, Value: protocol.Encode(&r)}}
 		},
 		Done: func(ok bool, _ uint64) { done(ok) },
 	})
 }
 
-// doneOf is what is done of a job with what a partner did of a loan of it.
-func (d *Desk) doneOf(r *part.JobRecord, o *out) [][2]int {
-	return part.MergeRanges(d.mostRanges(), r.Done, shift(o.done, o.key.First, o.tasks))
+// mergedDone is what is done of a job with what a partner did of a loan of it.
+func (d *Broker) mergedDone(r *shard.JobRecord, o *lentLease) [][2]int {
+	return shard.MergeRanges(d.maxDoneRanges(), r.DoneRanges, shiftRanges(o.done, o.key.FirstTask, o.tasks))
 }
 
 // takeBack gives the chunk a part again. While it is under way no renewal of
 // the loan is answered: one that was would outlive it.
-func (d *Desk) takeBack(o *out, why string, word bool) {
+func (d *Broker) takeBack(o *lentLease, why string, word bool) {
 	id := o.key.Job
-	o.back = true
-	d.rewrite(ledger.Soon, id, func(r *part.JobRecord) bool {
-		i := slices.IndexFunc(r.Away, func(a part.Away) bool { return a.No == o.key.No })
-		if i < 0 || d.out[o.key] != o || !word && !d.renewals.Over(o.key, o.rules(), d.h.Now()) {
+	o.isReturning = true
+	d.updateJobRecord(kvstore.PriorityNormal, id, func(r *shard.JobRecord) bool {
+		i := slices.IndexFunc(r.LentChunks, func(a shard.LentChunk) bool { return a.LoanNumber == o.key.Number })
+		if i < 0 || d.lentLeases[o.key] != o || !word && !d.renewals.IsExpired(o.key, o.rules(), d.host.Now()) {
 			return false
 		}
 		j := r.Job
 		j.Tasks = o.tasks
-		r.Away = slices.Concat(r.Away[:i], r.Away[i+1:])
-		r.Parts = slices.Clone(r.Parts)
-		r.Parts[o.a.Chunk] = d.h.Place(&j, r.Rank)
-		r.Done = d.doneOf(r, o)
+		r.LentChunks = slices.Concat(r.LentChunks[:i], r.LentChunks[i+1:])
+		r.ChunkShards = slices.Clone(r.ChunkShards)
+		r.ChunkShards[o.away.Chunk] = d.host.PlaceJob(&j, r.Rank)
+		r.DoneRanges = d.mergedDone(r, o)
 		return true
 	}, func(ok bool) {
 		if !ok {
-			o.back = false
+			o.isReturning = false
 			return
 		}
-		slog.Info("federation: a loan is back", "job", id, "loan", o.key.No, "from", o.a.To, "done", count(o.done), "of", o.tasks, "why", why)
-		d.Count.Back++
-		d.note(o.key.ID(d.f.Cluster), "back", why)
-		if count(o.done) < o.tasks {
+		slog.Info("federation: a loan is back", "job", id, "loan", o.key.Number, "from", o.away.Partner, "done", countTasks(o.done), "of", o.tasks, "why", why)
+		d.Counters.Back++
+		d.recordEvent(o.key.JobID(d.settings.Cluster), "back", why)
+		if countTasks(o.done) < o.tasks {
 			// Not at once to the same one, which has no room for it.
-			d.tried[chunk{id, o.a.Chunk}] = d.h.Now() + d.jitter(4*d.report())
+			d.retryAfter[jobChunk{id, o.away.Chunk}] = d.host.Now() + d.jitter(4*d.reportInterval())
 		}
-		d.h.News(id)
+		d.host.AnnounceChange(id)
 	})
 }
 
-// save notes in our ledger what the partner finished, so that a partner that
+// saveProgress notes in our ledger what the partner finished, so that a partner that
 // is lost costs little.
-func (d *Desk) save(o *out, now time.Duration) {
-	o.saving, o.savedAt = true, now
+func (d *Broker) saveProgress(o *lentLease, now time.Duration) {
+	o.isSaving, o.savedAt = true, now
 	n := 0
-	d.rewrite(ledger.Later, o.key.Job, func(r *part.JobRecord) bool {
-		if d.out[o.key] != o || o.back {
+	d.updateJobRecord(kvstore.PriorityLow, o.key.Job, func(r *shard.JobRecord) bool {
+		if d.lentLeases[o.key] != o || o.isReturning {
 			return false
 		}
-		n = count(o.done)
-		r.Done = d.doneOf(r, o)
+		n = countTasks(o.done)
+		r.DoneRanges = d.mergedDone(r, o)
 		return true
 	}, func(ok bool) {
-		o.saving = false
+		o.isSaving = false
 		if ok {
 			o.stored = n
 		}
 	})
 }
 
-// mostRanges of done tasks keep a record within half a value.
-func (d *Desk) mostRanges() int {
-	return int(d.h.Settings().Deployment.State.ValueKB * 1024 / 2 / 12)
+// maxDoneRanges of done tasks keep a record within half a value.
+func (d *Broker) maxDoneRanges() int {
+	return int(d.host.Settings().Deployment.State.ValueKB * 1024 / 2 / 12)
 }
 
-// askStates asks a partner how its loans are, and tells it what is over here.
-func (d *Desk) askStates(nb *neighbour, now time.Duration) {
-	if nb.asking || now < nb.statesAt || len(d.out)+len(nb.ended) == 0 {
+// requestStates asks a partner how its loans are, and tells it what is over here.
+func (d *Broker) requestStates(nb *partner, now time.Duration) {
+	if nb.isRequestingStates || now < nb.nextStatesAt || len(d.lentLeases)+len(nb.ended) == 0 {
 		return
 	}
-	room := d.h.Room()
-	var list []*out
-	in := &StatesAsk{}
-	for _, k := range sortedLoans(d.out) {
-		o := d.out[k]
-		if o.a.To != nb.p.Name || !o.accepted || o.back || o.over || len(list) >= mostLoans/2 {
+	room := d.host.StartableCounter()
+	var list []*lentLease
+	in := &StatesRequest{}
+	for _, k := range sortedLeaseKeys(d.lentLeases) {
+		o := d.lentLeases[k]
+		if o.away.Partner != nb.settings.Name || !o.accepted || o.isReturning || o.finishedAtHost || len(list) >= maxLeases/2 {
 			continue
 		}
 		list = append(list, o)
-		id := k.ID(d.f.Cluster)
-		in.Loans = append(in.Loans, id)
-		if o.state == StateQueued && d.fitsHere(o, room) {
+		id := k.JobID(d.settings.Cluster)
+		in.Leases = append(in.Leases, id)
+		if o.state == StateQueued && d.fitsAtHome(o, room) {
 			in.Recall = append(in.Recall, id)
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(nb.ended)) {
-		if len(in.End) < mostLoans/2 {
+		if len(in.End) < maxLeases/2 {
 			in.End = append(in.End, id)
 		}
 	}
 	if len(list)+len(in.End) == 0 {
 		return
 	}
-	nb.asking = true
-	got := &StatesAnswer{}
-	d.ask(nb, PathStates, in, got, func(status int) {
-		nb.asking = false
-		nb.statesAt = d.h.Now() + d.jitter(d.report()/2)
+	nb.isRequestingStates = true
+	got := &StatesResponse{}
+	d.callPartner(nb, PathStates, in, got, func(status int) {
+		nb.isRequestingStates = false
+		nb.nextStatesAt = d.host.Now() + d.jitter(d.reportInterval()/2)
 		if status != 200 || len(got.States) != len(list) {
 			return
 		}
 		for _, id := range in.End {
 			delete(nb.ended, id)
 		}
-		d.Count.Recalled += len(in.Recall)
+		d.Counters.Recalled += len(in.Recall)
 		for i, o := range list {
-			if d.out[o.key] == o && !o.back {
-				d.heard(o, &got.States[i])
+			if d.lentLeases[o.key] == o && !o.isReturning {
+				d.applyState(o, &got.States[i])
 			}
 		}
 	})
 }
 
-func sortedLoans(m map[loan.Key]*out) []loan.Key {
-	return slices.SortedFunc(maps.Keys(m), func(a, b loan.Key) int {
+func sortedLeaseKeys(m map[remotelease.Key]*lentLease) []remotelease.Key {
+	return slices.SortedFunc(maps.Keys(m), func(a, b remotelease.Key) int {
 		switch {
-		case a.Job != b.Job && a.Job < b.Job, a.Job == b.Job && a.First < b.First, a.Job == b.Job && a.First == b.First && a.No < b.No:
+		case a.Job != b.Job && a.Job < b.Job, a.Job == b.Job && a.FirstTask < b.FirstTask, a.Job == b.Job && a.FirstTask == b.FirstTask && a.Number < b.Number:
 			return -1
 		case a == b:
 			return 0
@@ -518,9 +520,9 @@
 	})
 }
 
-// fitsHere: home has room now for a loan that has not started.
-func (d *Desk) fitsHere(o *out, room func(*wire.Job) []int) bool {
-	rec := d.h.Job(o.key.Job)
+// fitsAtHome: home has room now for a loan that has not started.
+func (d *Broker) fitsAtHome(o *lentLease, room func(*protocol.Job) []int) bool {
+	rec := d.host.Job(o.key.Job)
 	if rec == nil {
 		return false
 	}
@@ -529,105 +531,105 @@
 	return slices.Max(room(&j)) >= o.tasks
 }
 
-// askOffers asks a partner for room for what waits too long here.
-func (d *Desk) askOffers(nb *neighbour, now time.Duration) {
-	if nb.offering || now < nb.offersAt || len(nb.p.Classes) == 0 {
+// requestOffers asks a partner for room for what waits too long here.
+func (d *Broker) requestOffers(nb *partner, now time.Duration) {
+	if nb.isRequestingOffers || now < nb.nextOffersAt || len(nb.settings.Classes) == 0 {
 		return
 	}
-	s := d.h.Settings()
-	var list []*Waiting
+	s := d.host.Settings()
+	var list []*WaitingChunk
 	var why []string
-	there := wait(s)
-	waiting := d.h.Waiting()
-	first(waiting, there, d.h.Wall())
-	in := &OffersAsk{Keep: []uint64{}}
+	there := partnerStartDelay(s)
+	waiting := d.host.WaitingChunks()
+	sortByUrgency(waiting, there, d.host.WallSeconds())
+	in := &OffersRequest{KeptOffers: []uint64{}}
 	jobs := map[string]bool{}
-	for _, o := range d.out {
-		if o.a.To == nb.p.Name && !o.accepted && o.a.Offer != 0 {
-			in.Keep = append(in.Keep, o.a.Offer)
+	for _, o := range d.lentLeases {
+		if o.away.Partner == nb.settings.Name && !o.accepted && o.away.OfferID != 0 {
+			in.KeptOffers = append(in.KeptOffers, o.away.OfferID)
 		}
 	}
-	in.Keep = append(in.Keep, slices.Sorted(maps.Keys(d.orders))...)
+	in.KeptOffers = append(in.KeptOffers, slices.Sorted(maps.Keys(d.lendOrders))...)
 	for _, w := range waiting {
-		if len(list) >= mostWants {
+		if len(list) >= maxResourceRequests {
 			break
 		}
 		// One chunk of a job at a time: its record takes one change at a time.
-		if _, tried := d.tried[chunk{w.Rec.Job.ID, w.Chunk}]; tried || jobs[w.Rec.Job.ID] {
+		if _, tried := d.retryAfter[jobChunk{w.Record.Job.ID, w.Chunk}]; tried || jobs[w.Record.Job.ID] {
 			continue
 		}
-		if y, ok := goes(w, nb.p, s.Team(w.Rec.Job.Team), there, d.h.Wall()); ok {
+		if y, ok := shouldLend(w, nb.settings, s.Team(w.Record.Job.Team), there, d.host.WallSeconds()); ok {
 			list, why = append(list, w), append(why, y)
-			jobs[w.Rec.Job.ID] = true
-			j := w.Rec.Job
+			jobs[w.Record.Job.ID] = true
+			j := w.Record.Job
 			j.Tasks = w.Tasks
-			in.Wants = append(in.Wants, Want{Job: j, Tasks: w.Tasks})
+			in.Requests = append(in.Requests, ResourceRequest{Job: j, Tasks: w.Tasks})
 		}
 	}
-	slog.Debug("federation: waiting", "chunks", len(waiting), "wants", len(list), "partner", nb.p.Name, "misses", nb.misses)
+	slog.Debug("federation: waiting", "chunks", len(waiting), "wants", len(list), "partner", nb.settings.Name, "misses", nb.emptyOffers)
 	if len(list) == 0 {
 		return
 	}
-	nb.offering = true
-	got := &OffersAnswer{}
-	d.ask(nb, PathOffers, in, got, func(status int) {
-		nb.offering = false
+	nb.isRequestingOffers = true
+	got := &OffersResponse{}
+	d.callPartner(nb, PathOffers, in, got, func(status int) {
+		nb.isRequestingOffers = false
 		some := false
-		if status == 200 && len(got.Offers) == len(list) && d.h.Leads() {
+		if status == 200 && len(got.Offers) == len(list) && d.host.IsLeader() {
 			for i, o := range got.Offers {
 				if o.ID == 0 {
 					continue
 				}
 				some = true
 				w := list[i]
-				d.tried[chunk{w.Rec.Job.ID, w.Chunk}] = d.h.Now() + d.report()
-				d.orders[o.ID] = d.h.Now() + d.report()
-				d.h.LendOut(&part.Order{Job: w.Rec.Job.ID, Chunk: w.Chunk, Away: part.Away{To: nb.p.Name, By: d.tenure, Offer: o.ID, Why: why[i],
-					TermMs: nb.p.Term.Milliseconds(), LeaseMs: nb.p.Lease.Milliseconds()}})
+				d.retryAfter[jobChunk{w.Record.Job.ID, w.Chunk}] = d.host.Now() + d.reportInterval()
+				d.lendOrders[o.ID] = d.host.Now() + d.reportInterval()
+				d.host.OrderLend(&shard.LendOrder{Job: w.Record.Job.ID, Chunk: w.Chunk, Lent: shard.LentChunk{Partner: nb.settings.Name, LeaderToken: d.fencingToken, OfferID: o.ID, Reason: why[i],
+					TermMillis: nb.settings.Term.Milliseconds(), LeaseMillis: nb.settings.Lease.Milliseconds()}})
 			}
 		}
 		// A partner without room is asked ever more rarely, so that many do
 		// not fall upon one that gets free.
 		if some {
-			nb.misses = 0
+			nb.emptyOffers = 0
 		} else {
-			nb.misses = min(nb.misses+1, 3)
+			nb.emptyOffers = min(nb.emptyOffers+1, 3)
 		}
-		nb.offersAt = d.h.Now() + d.jitter(d.report()<<nb.misses/2)
+		nb.nextOffersAt = d.host.Now() + d.jitter(d.reportInterval()<<nb.emptyOffers/2)
 	})
 }
 
-// Renewals answers a partner's controller, as home's leader.
-func (d *Desk) Renewals(from string, in *RenewalsAsk, reply Reply) {
-	p := d.f.Partner(from)
-	if len(in.Loans) > mostLoans {
-		reply(400, &wire.Problem{Error: "too many loans"}, 0)
+// AnswerRenewals answers a partner's controller, as home's leader.
+func (d *Broker) AnswerRenewals(from string, in *RenewalsRequest, reply Reply) {
+	p := d.settings.Partner(from)
+	if len(in.Leases) > maxLeases {
+		reply(400, &protocol.ErrorResponse{Error: "too many loans"}, 0)
 		return
 	}
 	if p.Lease > 0 && time.Duration(in.LeaseMs)*time.Millisecond > p.Lease {
 		slog.Error("federation: a partner's lease is longer than our settings say: nothing of ours may run there", "partner", from,
 			"theirs", time.Duration(in.LeaseMs)*time.Millisecond, "ours", p.Lease)
-		reply(409, &wire.Problem{Error: "lease_s of this partner is longer than home's settings say"}, 0)
+		reply(409, &protocol.ErrorResponse{Error: "lease_s of this partner is longer than home's settings say"}, 0)
 		return
 	}
 	// On proof: an abort, a return or another leader before the question must
 	// be seen in the answer.
-	d.h.Ledger().Prove(func(ok bool) {
-		if !ok || !d.h.Leads() {
-			reply(503, &wire.Problem{Error: "state service not reachable"}, 1)
+	d.host.Store().Sync(func(ok bool) {
+		if !ok || !d.host.IsLeader() {
+			reply(503, &protocol.ErrorResponse{Error: "state service not reachable"}, 1)
 			return
 		}
-		now := d.h.Now()
-		out := &RenewalsAnswer{Hold: []string{}, End: []string{}}
-		for _, id := range in.Loans {
-			k, ok := keyOf(id, d.f.Cluster)
+		now := d.host.Now()
+		out := &RenewalsResponse{Hold: []string{}, End: []string{}}
+		for _, id := range in.Leases {
+			k, ok := parseKeyOf(id, d.settings.Cluster)
 			if !ok {
 				continue
 			}
-			switch held, back := d.standing(k, from); {
+			switch held, back := d.leaseStanding(k, from); {
 			case back:
 			case held:
-				d.renewals.Held(k, now)
+				d.renewals.RecordRenewed(k, now)
 				out.Hold = append(out.Hold, id)
 			default:
 				out.End = append(out.End, id)
@@ -637,17 +639,17 @@
 	})
 }
 
-// standing: the record says that the loan is at the partner; back: it is being
+// leaseStanding: the record says that the loan is at the partner; back: it is being
 // taken back, or the partner said itself that it is over.
-func (d *Desk) standing(k loan.Key, partner string) (held, back bool) {
-	rec := d.h.Job(k.Job)
+func (d *Broker) leaseStanding(k remotelease.Key, partner string) (held, back bool) {
+	rec := d.host.Job(k.Job)
 	if rec == nil {
 		return false, false
 	}
-	for _, a := range rec.Away {
-		if a.No == k.No && a.First == k.First && a.To == partner {
-			o := d.out[k]
-			return true, o != nil && (o.back || o.over || o.refused != "")
+	for _, a := range rec.LentChunks {
+		if a.LoanNumber == k.Number && a.FirstTask == k.FirstTask && a.Partner == partner {
+			o := d.lentLeases[k]
+			return true, o != nil && (o.isReturning || o.finishedAtHost || o.refusal != "")
 		}
 	}
 	return false, false
--- a/internal/federation/host.go
+++ b/internal/federation/host.go
@@ -6,18 +6,18 @@
 	"slices"
 	"time"
 
-	"curlewspool/internal/ledger"
-	"curlewspool/internal/loan"
-	"curlewspool/internal/part"
-	"curlewspool/internal/wire"
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/remotelease"
+	"curlewspool/internal/shard"
 )
 
 // --- host: offers, acceptance, states, renewals of what is borrowed ---
 
-// lent sums what a home has here, whether it runs or not.
-func (d *Desk) lent(home string) (cores float64, loans, tasks int) {
-	for id := range d.borrowed {
-		if rec := d.h.Job(id); rec != nil && rec.Loan != nil && rec.Loan.Home == home {
+// lentTo sums what a home has here, whether it runs or not.
+func (d *Broker) lentTo(home string) (cores float64, loans, tasks int) {
+	for id := range d.borrowedJobs {
+		if rec := d.host.Job(id); rec != nil && rec.Loan != nil && rec.Loan.HomeCluster == home {
 			cores += float64(rec.Job.Tasks) * max(rec.Job.Cores, rec.Job.GPUs)
 			loans++
 			tasks += rec.Job.Tasks
@@ -26,18 +26,18 @@
 	return cores, loans, tasks
 }
 
-// Offers answers a home, as the host's leader. What is offered is held for a
+// AnswerOffers answers a home, as the host's leader. What is offered is held for a
 // moment, so that two homes are not offered the same room.
-func (d *Desk) Offers(from string, in *OffersAsk, reply Reply) {
-	p := d.f.Partner(from)
-	if len(in.Wants) > mostWants || len(in.Keep) > mostLoans {
-		reply(400, &wire.Problem{Error: "too many wants"}, 0)
+func (d *Broker) AnswerOffers(from string, in *OffersRequest, reply Reply) {
+	p := d.settings.Partner(from)
+	if len(in.Requests) > maxResourceRequests || len(in.KeptOffers) > maxLeases {
+		reply(400, &protocol.ErrorResponse{Error: "too many wants"}, 0)
 		return
 	}
-	now := d.h.Now()
+	now := d.host.Now()
 	held, heldHome := map[int]float64{}, 0.0
 	for id, o := range d.offers {
-		if now > o.until || o.home == from && !o.taken && !slices.Contains(in.Keep, id) {
+		if now > o.until || o.home == from && !o.taken && !slices.Contains(in.KeptOffers, id) {
 			delete(d.offers, id)
 			continue
 		}
@@ -46,17 +46,17 @@
 			heldHome += o.cores
 		}
 	}
-	lent, loans, tasks := d.lent(from)
-	free := lendable(p, d.h.Cores(), lent+heldHome)
-	roomFor := d.h.Room()
-	out := &OffersAnswer{}
-	for _, w := range in.Wants {
+	lent, loans, tasks := d.lentTo(from)
+	free := lendableCores(p, d.host.TotalCores(), lent+heldHome)
+	roomFor := d.host.StartableCounter()
+	out := &OffersResponse{}
+	for _, w := range in.Requests {
 		j := borrowedJob(w.Job.ID, from, &w.Job)
 		j.Tasks = w.Tasks
 		of := Offer{}
 		switch weight := max(j.Cores, j.GPUs); {
-		case sane(&j) != "" || len(d.offers) >= 4*mostWants || loans >= mostLoans || tasks+j.Tasks > mostTasks:
-			of.Why = "cannot be offered"
+		case invalidReason(&j) != "" || len(d.offers) >= 4*maxResourceRequests || loans >= maxLeases || tasks+j.Tasks > maxTasks:
+			of.Reason = "cannot be offered"
 		default:
 			best, room := 0, 0
 			for k, r := range roomFor(&j) {
@@ -67,33 +67,33 @@
 					best, room = k, r
 				}
 			}
-			of.Tasks = offered(&j, j.Tasks, room, free)
+			of.Tasks = offerableTasks(&j, j.Tasks, room, free)
 			if of.Tasks == 0 {
-				of.Why = "no room"
-				d.Count.Declined++
+				of.Reason = "no room"
+				d.Counters.Declined++
 				break
 			}
 			cores := float64(j.Tasks) * weight
-			d.offerNo++
-			of.ID = d.tenure<<16 + d.offerNo
-			d.offers[of.ID] = &offer{from, j.Tasks, cores, now + 4*d.report(), best, false}
+			d.lastOffer++
+			of.ID = d.fencingToken<<16 + d.lastOffer
+			d.offers[of.ID] = &heldOffer{from, j.Tasks, cores, now + 4*d.reportInterval(), best, false}
 			held[best] += cores
 			loans, tasks = loans+1, tasks+j.Tasks
 			free -= cores
-			d.Count.Offered++
+			d.Counters.Offered++
 		}
-		slog.Debug("federation: offer", "to", from, "job", w.Job.ID, "tasks", w.Tasks, "offered", of.Tasks, "share", free, "why", of.Why)
+		slog.Debug("federation: offer", "to", from, "job", w.Job.ID, "tasks", w.Tasks, "offered", of.Tasks, "share", free, "why", of.Reason)
 		out.Offers = append(out.Offers, of)
 	}
 	reply(200, out, 0)
 }
 
-// Accept takes a loan, as the host's leader: durable before the answer. It may
+// AcceptLease takes a loan, as the host's leader: durable before the answer. It may
 // be repeated. Nothing of it starts before home has answered a renewal.
-func (d *Desk) Accept(from string, in *LoanAsk, reply Reply) {
-	p := d.f.Partner(from)
-	k, ok := keyOf(in.ID, from)
-	why := sane(&in.Job)
+func (d *Broker) AcceptLease(from string, in *LeaseRequest, reply Reply) {
+	p := d.settings.Partner(from)
+	k, ok := parseKeyOf(in.ID, from)
+	why := invalidReason(&in.Job)
 	switch {
 	case !ok || in.Job.ID != in.ID:
 		why = "the loan's name is not one of its home"
@@ -101,141 +101,141 @@
 		why = "term"
 	}
 	if why != "" {
-		reply(400, &wire.Problem{Error: why}, 0)
+		reply(400, &protocol.ErrorResponse{Error: why}, 0)
 		return
 	}
-	if d.h.Job(in.ID) != nil {
-		reply(200, d.state(in.ID), 0)
+	if d.host.Job(in.ID) != nil {
+		reply(200, d.borrowedState(in.ID), 0)
 		return
 	}
 	o := d.offers[in.Offer]
-	if o == nil || o.taken || o.home != from || d.h.Now() > o.until || in.Job.Tasks > o.tasks || p.Lends <= 0 {
-		d.h.Ledger().Prove(func(ok bool) {
+	if o == nil || o.taken || o.home != from || d.host.Now() > o.until || in.Job.Tasks > o.tasks || p.Lends <= 0 {
+		d.host.Store().Sync(func(ok bool) {
 			switch {
 			case !ok:
-				reply(503, &wire.Problem{Error: "state service not reachable"}, 1)
-			case d.h.Job(in.ID) != nil: // a leader before accepted it
-				reply(200, d.state(in.ID), 0)
+				reply(503, &protocol.ErrorResponse{Error: "state service not reachable"}, 1)
+			case d.host.Job(in.ID) != nil: // a leader before accepted it
+				reply(200, d.borrowedState(in.ID), 0)
 			default:
-				d.Count.RefusedHere++
-				reply(409, &wire.Problem{Error: "the offer does not stand any more"}, 0)
+				d.Counters.RefusedHere++
+				reply(409, &protocol.ErrorResponse{Error: "the offer does not stand any more"}, 0)
 			}
 		})
 		return
 	}
-	l := d.h.Ledger()
+	l := d.host.Store()
 	j := borrowedJob(in.ID, from, &in.Job)
-	rec := &part.JobRecord{Job: j, At: d.h.Wall(), Chunk: j.Tasks, Parts: []int{o.part}, Done: shift(in.Done, 0, j.Tasks),
-		Loan: &part.Loan{Home: from, Job: k.Job, First: k.First, No: k.No, TermMs: in.TermMs}}
-	if len(wire.Encode(rec)) > d.h.Settings().MostRecord() {
-		reply(400, &wire.Problem{Error: "fields too long"}, 0)
+	rec := &shard.JobRecord{Job: j, AcceptedAt: d.host.WallSeconds(), ChunkSize: j.Tasks, ChunkShards: []int{o.part}, DoneRanges: shiftRanges(in.Done, 0, j.Tasks),
+		Loan: &shard.Loan{HomeCluster: from, HomeJobID: k.Job, FirstTask: k.FirstTask, LoanNumber: k.Number, TermMillis: in.TermMs}}
+	if len(protocol.Encode(rec)) > d.host.Settings().MostRecord() {
+		reply(400, &protocol.ErrorResponse{Error: "fields too long"}, 0)
 		return
 	}
-	l.Write(ledger.Soon, &ledger.Write{
-		Build: func(nonce string) ([]wire.Cond, []wire.Op) {
-			if !d.h.Leads() {
+	l.Write(kvstore.PriorityNormal, &kvstore.WriteRequest{
+		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
+			if !d.host.IsLeader() {
 				return nil, nil
 			}
-			rec.W = nonce
-			return []wire.Cond{d.h.LeadGuard(), {Key: part.JobKey(in.ID)}, {Key: part.FinalKey(in.ID)}},
-				[]wire.Op{{Put: part.JobKey(in.ID), Value: wire.Encode(rec)}}
+			rec.Nonce = nonce
+			return []protocol.Condition{d.host.LeaderCondition(), {Key: shard.JobKey(in.ID)}, {Key: shard.FinalKey(in.ID)}},
+				[]protocol.Mutation{{Put: shard.JobKey(in.ID), Value: protocol.Encode(rec)}}
 		},
 		Done: func(ok bool, _ uint64) {
 			if !ok { // known already, or over, or another leader
-				reply(503, &wire.Problem{Error: "try again"}, 1)
+				reply(503, &protocol.ErrorResponse{Error: "try again"}, 1)
 				return
 			}
-			o.taken, o.until = true, d.h.Now()+2*d.report() // its room is held until it has started
-			d.Count.Borrowed++
+			o.taken, o.until = true, d.host.Now()+2*d.reportInterval() // its room is held until it has started
+			d.Counters.Borrowed++
 			slog.Info("federation: borrowed", "job", in.ID, "tasks", j.Tasks, "from", from)
-			d.note(in.ID, "borrowed", "")
-			d.h.News(in.ID)
-			reply(200, &State{State: StateQueued}, 0)
+			d.recordEvent(in.ID, "borrowed", "")
+			d.host.AnnounceChange(in.ID)
+			reply(200, &LeaseState{State: StateQueued}, 0)
 		},
-		Refused: func() bool {
-			reply(503, &wire.Problem{Error: "state service not reachable"}, 1)
+		ShouldAbandon: func() bool {
+			reply(503, &protocol.ErrorResponse{Error: "state service not reachable"}, 1)
 			return true
 		},
 	})
 }
 
-// state of a borrowed job that is live.
-func (d *Desk) state(id string) *State {
-	done, running := d.h.Progress(id)
-	s := &State{State: StateQueued, Running: running, Done: done}
+// borrowedState of a borrowed job that is live.
+func (d *Broker) borrowedState(id string) *LeaseState {
+	done, running := d.host.StoredProgress(id)
+	s := &LeaseState{State: StateQueued, Running: running, Done: done}
 	if running > 0 || len(done) > 0 {
 		s.State = StateRunning
 	}
 	// An answer holds as many loans as there are; ranges are bounded, and the
 	// rest is told when the loan is over.
 	if len(s.Done) > 64 {
-		s.Done = part.MergeRanges(64, s.Done)
+		s.Done = shard.MergeRanges(64, s.Done)
 	}
 	return s
 }
 
-// States answers a home, as the host's leader.
-func (d *Desk) States(from string, in *StatesAsk, reply Reply) {
-	if len(in.Loans) > mostLoans || len(in.End) > mostLoans || len(in.Recall) > mostLoans {
-		reply(400, &wire.Problem{Error: "too many loans"}, 0)
+// AnswerStates answers a home, as the host's leader.
+func (d *Broker) AnswerStates(from string, in *StatesRequest, reply Reply) {
+	if len(in.Leases) > maxLeases || len(in.End) > maxLeases || len(in.Recall) > maxLeases {
+		reply(400, &protocol.ErrorResponse{Error: "too many loans"}, 0)
 		return
 	}
 	for _, id := range in.End {
-		d.flag(from, id, true)
+		d.flagForReturn(from, id, true)
 	}
 	for _, id := range in.Recall {
-		d.flag(from, id, false)
+		d.flagForReturn(from, id, false)
 	}
-	out := &StatesAnswer{States: make([]State, len(in.Loans))}
+	out := &StatesResponse{States: make([]LeaseState, len(in.Leases))}
 	left, fetches := 1, 0
 	finish := func() {
 		if left--; left == 0 {
 			reply(200, out, 0)
 		}
 	}
-	for i, id := range in.Loans {
+	for i, id := range in.Leases {
 		s := &out.States[i]
-		if _, ok := keyOf(id, from); !ok {
+		if _, ok := parseKeyOf(id, from); !ok {
 			s.State = StateUnknown
 			continue
 		}
-		if d.h.Job(id) != nil {
-			*s = *d.state(id)
+		if d.host.Job(id) != nil {
+			*s = *d.borrowedState(id)
 			continue
 		}
-		if f, ok := d.over.Get(id); ok {
-			*s = overState(f)
+		if f, ok := d.finished.Get(id); ok {
+			*s = finishedLeaseState(f)
 			continue
 		}
-		if fetches >= d.h.Settings().Deployment.State.TxnOps {
-			s.State = StateLater
+		if fetches >= d.host.Settings().Deployment.State.TxnOps {
+			s.State = StateUnavailable
 			continue
 		}
 		fetches++
 		left++
-		d.h.Ledger().Fetch(part.FinalKey(id), func(status int, value []byte, _ uint64) {
-			var f part.Final
+		d.host.Store().Fetch(shard.FinalKey(id), func(status int, value []byte, _ uint64) {
+			var f shard.FinalRecord
 			switch {
-			case status == 200 && wire.Decode(value, &f) == nil:
-				d.over.Add(id, f)
-				*s = overState(f)
+			case status == 200 && protocol.Decode(value, &f) == nil:
+				d.finished.Add(id, f)
+				*s = finishedLeaseState(f)
 			case status == 404:
 				// Our cache may be older than its acceptance by the leader
 				// before: home would give up a loan that runs.
 				left++
-				d.h.Ledger().Prove(func(ok bool) {
+				d.host.Store().Sync(func(ok bool) {
 					switch {
 					case !ok:
-						s.State = StateLater
-					case d.h.Job(id) != nil:
-						*s = *d.state(id)
+						s.State = StateUnavailable
+					case d.host.Job(id) != nil:
+						*s = *d.borrowedState(id)
 					default:
 						s.State = StateUnknown
 					}
 					finish()
 				})
 			default:
-				s.State = StateLater
+				s.State = StateUnavailable
 			}
 			finish()
 		})
@@ -243,90 +243,90 @@
 	finish()
 }
 
-func overState(f part.Final) State {
-	s := State{State: StateOver, Done: f.Done}
-	if f.Status == wire.Done {
+func finishedLeaseState(f shard.FinalRecord) LeaseState {
+	s := LeaseState{State: StateFinished, Done: f.DoneRanges}
+	if f.Status == protocol.JobDone {
 		s.Done = [][2]int{{0, f.Tasks - 1}}
 	}
 	return s
 }
 
-// flag notes in a borrowed job's record that it is to be given back: its
+// flagForReturn notes in a borrowed job's record that it is to be given back: its
 // part's owner sees it there.
-func (d *Desk) flag(from, id string, end bool) {
-	rec := d.h.Job(id)
-	if _, ok := keyOf(id, from); !ok || rec == nil || rec.Loan == nil || d.flags[id] || rec.Loan.Ending || !end && rec.Loan.Recall {
+func (d *Broker) flagForReturn(from, id string, end bool) {
+	rec := d.host.Job(id)
+	if _, ok := parseKeyOf(id, from); !ok || rec == nil || rec.Loan == nil || d.flagging[id] || rec.Loan.Ending || !end && rec.Loan.Recall {
 		return
 	}
-	d.flags[id] = true
-	d.rewrite(ledger.Soon, id, func(r *part.JobRecord) bool {
+	d.flagging[id] = true
+	d.updateJobRecord(kvstore.PriorityNormal, id, func(r *shard.JobRecord) bool {
 		l := *r.Loan
 		l.Ending, l.Recall = l.Ending || end, true
 		r.Loan = &l
 		return true
 	}, func(ok bool) {
-		delete(d.flags, id)
+		delete(d.flagging, id)
 		if ok {
 			what := "recalled"
 			if end {
 				what = "ended by home"
 			}
-			d.note(id, what, "")
-			d.h.News(id)
+			d.recordEvent(id, what, "")
+			d.host.AnnounceChange(id)
 		}
 	})
 }
 
-// askRenewals asks a home whether what is borrowed from it, in the parts owned
+// requestRenewals asks a home whether what is borrowed from it, in the parts owned
 // here, may go on. Each controller asks for itself: the term counts from when
 // it sent the question, by its own clock.
-func (d *Desk) askRenewals(nb *neighbour, now time.Duration) {
-	if nb.renewing {
+func (d *Broker) requestRenewals(nb *partner, now time.Duration) {
+	if nb.isRequestingRenewals {
 		return
 	}
 	type held struct {
-		part   *part.Part
-		permit *loan.Permit
+		part   *shard.Shard
+		permit *remotelease.Permit
 		term   time.Duration
 	}
 	loans := map[string]held{}
 	shortest, fresh := time.Hour, false
-	d.h.Loans(func(p *part.Part, rec *part.JobRecord, permit *loan.Permit) {
-		if rec.Loan.Home != nb.p.Name || len(loans) >= mostLoans {
+	d.host.EachBorrowedJob(func(p *shard.Shard, rec *shard.JobRecord, permit *remotelease.Permit) {
+		if rec.Loan.HomeCluster != nb.settings.Name || len(loans) >= maxLeases {
 			return
 		}
-		x := held{p, permit, time.Duration(rec.Loan.TermMs) * time.Millisecond}
+		x := held{p, permit, time.Duration(rec.Loan.TermMillis) * time.Millisecond}
 		loans[rec.Job.ID] = x
 		shortest = min(shortest, x.term)
-		fresh = fresh || !permit.Good(now)
+		fresh = fresh || !permit.IsValid(now)
 	})
-	if len(loans) == 0 || now < nb.renewAt && !(fresh && now > nb.renewAt-shortest/5+time.Second/2) {
+	if len(loans) == 0 || now < nb.nextRenewalAt && !(fresh && now > nb.nextRenewalAt-shortest/5+time.Second/2) {
 		return
 	}
-	nb.renewing = true
-	in := &RenewalsAsk{LeaseMs: int64(d.h.Settings().Deployment.Workers.Lease * 1000), Loans: slices.Sorted(maps.Keys(loans))}
-	got := &RenewalsAnswer{}
-	d.ask(nb, PathRenewals, in, got, func(status int) {
-		nb.renewing = false
+	nb.isRequestingRenewals = true
+	in := &RenewalsRequest{LeaseMs: int64(d.host.Settings().Deployment.Workers.Lease * 1000), Leases: slices.Sorted(maps.Keys(loans))}
+	got := &RenewalsResponse{}
+	d.callPartner(nb, PathRenewals, in, got, func(status int) {
+		nb.isRequestingRenewals = false
 		if status != 200 {
-			d.Count.RenewalsMissed++
-			nb.renewAt = d.h.Now() + d.jitter(min(shortest/10, time.Second))
+			d.Counters.RenewalsMissed++
+			nb.nextRenewalAt = d.host.Now() + d.jitter(min(shortest/10, time.Second))
 			return
 		}
-		nb.renewAt = now + d.jitter(shortest/5)
+		nb.nextRenewalAt = now + d.jitter(shortest/5)
 		for _, id := range got.Hold {
 			if x, ok := loans[id]; ok {
-				if !x.permit.Good(d.h.Now()) {
-					d.note(id, "permitted", "")
+				if !x.permit.IsValid(d.host.Now()) {
+					d.recordEvent(id, "permitted", "")
 				}
 				x.permit.Renew(now, x.term)
-				x.part.Permitted(id)
-				d.Count.Renewed++
+				x.part.PermitRenewed(id)
+				d.Counters.Renewed++
 			}
 		}
 		for _, id := range got.End {
 			if x, ok := loans[id]; ok {
-				x.permit.End()
+				x.permit.Revoke()
 				x.part.EndLoan(id)
 			}
 		}
--- a/internal/audit/audit_test.go
+++ b/internal/historycheck/historycheck_test.go
@@ -1,4 +1,4 @@
-package audit
+package historycheck
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 )
 
 // What machines write, and what is said of it.
-func TestRead(t *testing.T) {
+func TestCheck(t *testing.T) {
 	say := func(at int, cluster, machine, task string, try int, what string) string {
 		return fmt.Sprintf(`{"at":%d,"cluster":%q,"machine":%q,"task":%q,"try":%d,"what":%q}`, at, cluster, machine, task, try, what) + "\n"
 	}
@@ -20,19 +20,19 @@
 		{"a kept result", good + say(6, "w", "i-1", "wk-1/0", 5, "start") + say(7, "w", "i-1", "wk-1/0", 5, "kept"), ""},
 		{"an end from nowhere", say(1, "w", "i-1", "wk-1/0", 1, "done"), "never started"},
 	} {
-		r, err := Read(strings.NewReader(c.lines))
+		r, err := Check(strings.NewReader(c.lines))
 		if err != nil {
 			t.Fatalf("%s: %v", c.name, err)
 		}
-		if got := strings.Join(r.Wrong, "; "); c.wrong == "" && got != "" || !strings.Contains(got, c.wrong) {
+		if got := strings.Join(r.Violations, "; "); c.wrong == "" && got != "" || !strings.Contains(got, c.wrong) {
 			t.Errorf("%s: said %q, want %q", c.name, got, c.wrong)
 		}
 	}
-	r, _ := Read(strings.NewReader(good))
-	if r.Tasks != 2 || r.Starts != 3 || r.Finished != 1 || r.Left != 1 || r.By["e"] != 1 {
+	r, _ := Check(strings.NewReader(good))
+	if r.Tasks != 2 || r.Starts != 3 || r.Finished != 1 || r.Running != 1 || r.ByCluster["e"] != 1 {
 		t.Errorf("counted %+v", r)
 	}
-	if _, err := Read(strings.NewReader("{}\n")); err == nil {
+	if _, err := Check(strings.NewReader("{}\n")); err == nil {
 		t.Error("a line without a task was taken")
 	}
 }
--- a/internal/nomad/jobs.go
+++ b/internal/nomad/jobs.go
@@ -11,7 +11,7 @@
 	"github.com/zclconf/go-cty/cty"
 	"github.com/zclconf/go-cty/cty/convert"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // Rules are the operators': what files do not say is taken from here, and said.
@@ -37,9 +37,9 @@
 
 // Native is the job that a group becomes.
 type Native struct {
-	Group   string           `json:"group"`
-	Job     *wire.Submission `json:"-"`
-	Assumed []string         `json:"assumed"` // what the file does not say
+	Group   string               `json:"group"`
+	Job     *protocol.Submission `json:"-"`
+	Assumed []string             `json:"assumed"` // what the file does not say
 }
 
 // Plan is what a file becomes.
@@ -75,9 +75,9 @@
 	shape := ""
 	switch t := m.text(job, "type", "service"); t {
 	case "batch":
-		shape = wire.Array
+		shape = protocol.ShapeArray
 	case "service":
-		shape = wire.Service
+		shape = protocol.ShapeService
 	default:
 		m.bad(at(job, "type"), "type %q: one copy on every machine cannot be promised here", t)
 	}
@@ -108,7 +108,7 @@
 		if n := m.group(job, g, shape, rank, zone); n != nil {
 			id := "wk-nomad." + p.Namespace + "." + p.Name + "." + g.Labels[0]
 			n.Job.ID = &id
-			if _, bad := n.Job.Check(); bad != "" { // such as names that are too long together
+			if _, bad := n.Job.Validate(); bad != "" { // such as names that are too long together
 				m.bad(g.At, "the scheduler would refuse it: %s", bad)
 			}
 			p.Jobs = append(p.Jobs, *n)
@@ -313,7 +313,7 @@
 		return false
 	}
 	est := 0.0
-	if shape == wire.Service {
+	if shape == protocol.ShapeService {
 		if s, ok := where["curlew_estimate_s"]; ok {
 			m.bad(s, "a service has no run time")
 		}
@@ -329,10 +329,10 @@
 		assume("spot machines %v, by class %s: meta curlew_spot is not there", spot, class)
 	}
 	if yes("curlew_gang") {
-		if shape == wire.Service {
+		if shape == protocol.ShapeService {
 			m.bad(where["curlew_gang"], "a service is no gang")
 		} else {
-			shape = wire.Gang
+			shape = protocol.ShapeGang
 		}
 	}
 	one := yes("curlew_one_zone")
@@ -431,13 +431,13 @@
 		return nil
 	}
 	pieces, memGb := uint64(count), mem/1024
-	n.Job = &wire.Submission{Trade: &class, Crew: &team, Shape: &shape, Rank: &rank, Pieces: &pieces, Cores: &cores, GPUs: &gpus, Memory: &memGb,
-		Kit: &image, PullGb: &imageGb, Builds: types, Together: &one, Apart: &apart, Loaners: &spot, Reckon: &est, Mark: &mark, Stow: &save}
+	n.Job = &protocol.Submission{Class: &class, Team: &team, Shape: &shape, Priority: &rank, Tasks: &pieces, Cores: &cores, GPUs: &gpus, MemoryGB: &memGb,
+		Image: &image, ImageGB: &imageGb, MachineTypes: types, SingleZone: &one, SpreadZones: &apart, AllowSpot: &spot, Estimate: &est, CheckpointInterval: &mark, CheckpointDuration: &save}
 	if zone != "" {
-		n.Job.Yard = &zone
+		n.Job.Zone = &zone
 	}
 	if due := num("curlew_due_s", 0, ""); due > 0 {
-		n.Job.Due = &due
+		n.Job.Deadline = &due
 	}
 	sort.Strings(n.Assumed)
 	return n
@@ -504,7 +504,7 @@
 // Words gives the job in the outer protocol's words.
 func (n *Native) Words() map[string]any {
 	var out map[string]any
-	if err := wire.Decode(wire.Encode(n.Job), &out); err != nil {
+	if err := protocol.Decode(protocol.Encode(n.Job), &out); err != nil {
 		return nil // only our own types come here
 	}
 	return out
--- a/internal/nomad/nomad_test.go
+++ b/internal/nomad/nomad_test.go
@@ -79,7 +79,7 @@
 			continue
 		}
 		for _, j := range p.Jobs {
-			if _, bad := j.Job.Check(); bad != "" {
+			if _, bad := j.Job.Validate(); bad != "" {
 				t.Errorf("%s: the scheduler would refuse it: %s", f, bad)
 			}
 			w, _ := json.MarshalIndent(struct {
@@ -191,7 +191,7 @@
 		if n, err := ReadAny("f", src, Inputs{}); err == nil {
 			if p, err := Jobs(n, testRules()); err == nil {
 				for _, j := range p.Jobs {
-					if _, bad := j.Job.Check(); bad != "" {
+					if _, bad := j.Job.Validate(); bad != "" {
 						t.Errorf("taken, but the scheduler would refuse it: %s", bad)
 					}
 				}
--- a/internal/mesh/mesh.go
+++ b/internal/peermsg/transport.go
@@ -2,9 +2,9 @@
 // outgoing connection to each member, frames of a length and an Envelope.
 // Losing a message is allowed: everything told here is either repeated at
 // the next heartbeat or asked again.
-package mesh
+package peermsg
 
-//go:generate protoc --go_out=. --go_opt=paths=source_relative mesh.proto
+//go:generate protoc --go_out=. --go_opt=paths=source_relative peermsg.proto
 
 import (
 	"bufio"
@@ -28,13 +28,13 @@
 // VersionDependencies is the first that understands what stands at 1.
 const VersionDependencies = 1
 
-// maxFrame bounds what a member may make us hold.
-const maxFrame = 1 << 20
+// maxFrameBytes bounds what a member may make us hold.
+const maxFrameBytes = 1 << 20
 
 // Transport sends and receives.
 type Transport struct {
-	out  map[string]chan *Envelope
-	self string
+	queues map[string]chan *Envelope
+	self   string
 }
 
 // Listen starts the transport; every frame that arrives is given to deliver,
@@ -44,11 +44,11 @@
 	if err != nil {
 		return nil, err
 	}
-	t := &Transport{out: map[string]chan *Envelope{}, self: self}
+	t := &Transport{queues: map[string]chan *Envelope{}, self: self}
 	for name, a := range members {
 		ch := make(chan *Envelope, 64)
-		t.out[name] = ch
-		go t.sender(a, ch, timeout)
+		t.queues[name] = ch
+		go t.sendLoop(a, ch, timeout)
 	}
 	go func() {
 		for {
@@ -60,13 +60,13 @@
 				time.Sleep(timeout / 10)
 				continue
 			}
-			go receive(c, 20*timeout, deliver)
+			go receiveLoop(c, 20*timeout, deliver)
 		}
 	}()
 	return t, nil
 }
 
-func receive(c net.Conn, idle time.Duration, deliver func(*Envelope)) {
+func receiveLoop(c net.Conn, idle time.Duration, deliver func(*Envelope)) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	var buf []byte
@@ -74,7 +74,7 @@
 		// A member behind a cut is silent; its connection must not stay.
 		_ = c.SetReadDeadline(time.Now().Add(idle))
 		n, err := binary.ReadUvarint(r)
-		if err != nil || n > maxFrame {
+		if err != nil || n > maxFrameBytes {
 			return
 		}
 		if uint64(cap(buf)) < n {
@@ -96,7 +96,7 @@
 // Send queues e for a member; with a full queue it is lost.
 func (t *Transport) Send(member string, e *Envelope) {
 	e.From = t.self
-	if ch := t.out[member]; ch != nil {
+	if ch := t.queues[member]; ch != nil {
 		select {
 		case ch <- e:
 		default:
@@ -104,7 +104,7 @@
 	}
 }
 
-func (t *Transport) sender(addr string, ch chan *Envelope, timeout time.Duration) {
+func (t *Transport) sendLoop(addr string, ch chan *Envelope, timeout time.Duration) {
 	var c net.Conn
 	for e := range ch {
 		b, err := proto.Marshal(e)
@@ -117,7 +117,7 @@
 			c, err = net.DialTimeout("tcp4", addr, timeout)
 			if err != nil {
 				c = nil
-				drain(ch) // what waited meanwhile is old news
+				discardQueued(ch) // what waited meanwhile is old news
 				continue
 			}
 			go func(c net.Conn) { // notice at once when the member ends
@@ -133,7 +133,7 @@
 	}
 }
 
-func drain(ch chan *Envelope) {
+func discardQueued(ch chan *Envelope) {
 	for {
 		select {
 		case <-ch:
--- a/internal/keys/listener.go
+++ b/internal/pki/listener.go
@@ -1,4 +1,4 @@
-package keys
+package pki
 
 import (
 	"crypto/tls"
@@ -15,67 +15,67 @@
 // and never a server's worker.
 type Listener struct {
 	net.Listener
-	ready chan net.Conn
-	done  chan struct{}
-	once  sync.Once
-	shake chan struct{}
-	open  chan struct{}
+	ready           chan net.Conn
+	done            chan struct{}
+	once            sync.Once
+	handshakeSlots  chan struct{}
+	connectionSlots chan struct{}
 }
 
-// patience is how long a handshake may take.
-const patience = 3 * time.Second
+// handshakeTimeout is how long a handshake may take.
+const handshakeTimeout = 3 * time.Second
 
 // Listen wraps l; at most open connections stand at a time, a quarter as many
 // in their handshake.
 func Listen(l net.Listener, c *tls.Config, open int) *Listener {
-	k := &Listener{Listener: l, ready: make(chan net.Conn), done: make(chan struct{}), open: make(chan struct{}, open), shake: make(chan struct{}, max(2, open/4))}
+	k := &Listener{Listener: l, ready: make(chan net.Conn), done: make(chan struct{}), connectionSlots: make(chan struct{}, open), handshakeSlots: make(chan struct{}, max(2, open/4))}
 	go k.accept(c)
 	return k
 }
 
-func (k *Listener) accept(c *tls.Config) {
+func (l *Listener) accept(c *tls.Config) {
 	told := rate.Sometimes{Interval: time.Second} // many would fill the log
 	refuse := func(conn net.Conn, why string) {
 		_ = conn.Close()
 		told.Do(func() { slog.Info("federation: caller refused", "addr", conn.RemoteAddr(), "why", why) })
 	}
 	for {
-		conn, err := k.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err != nil {
 			select {
-			case <-k.done:
+			case <-l.done:
 				return
 			case <-time.After(100 * time.Millisecond): // no free sockets
 				continue
 			}
 		}
 		select {
-		case k.open <- struct{}{}:
+		case l.connectionSlots <- struct{}{}:
 		default:
 			refuse(conn, "too many connections")
 			continue
 		}
-		held := &heldConn{Conn: conn, free: func() { <-k.open }}
+		held := &countedConn{Conn: conn, release: func() { <-l.connectionSlots }}
 		select {
-		case k.shake <- struct{}{}:
+		case l.handshakeSlots <- struct{}{}:
 		default:
 			refuse(held, "too many handshakes")
 			continue
 		}
 		go func() {
-			defer func() { <-k.shake }()
+			defer func() { <-l.handshakeSlots }()
 			t := tls.Server(held, c)
-			_ = held.SetDeadline(time.Now().Add(patience))
+			_ = held.SetDeadline(time.Now().Add(handshakeTimeout))
 			if err := t.Handshake(); err != nil {
 				refuse(held, err.Error())
 				return
 			}
 			_ = held.SetDeadline(time.Time{})
 			select {
-			case k.ready <- t:
-			case <-time.After(patience): // the server takes no more
+			case l.ready <- t:
+			case <-time.After(handshakeTimeout): // the server takes no more
 				refuse(held, "busy")
-			case <-k.done:
+			case <-l.done:
 				held.Close()
 			}
 		}()
@@ -83,29 +83,29 @@
 }
 
 // Accept gives the next one.
-func (k *Listener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	select {
-	case c := <-k.ready:
+	case c := <-l.ready:
 		return c, nil
-	case <-k.done:
+	case <-l.done:
 		return nil, net.ErrClosed
 	}
 }
 
 // Close ends it.
-func (k *Listener) Close() error {
-	k.once.Do(func() { close(k.done) })
-	return k.Listener.Close()
+func (l *Listener) Close() error {
+	l.once.Do(func() { close(l.done) })
+	return l.Listener.Close()
 }
 
-// heldConn gives its place back when it is closed.
-type heldConn struct {
+// countedConn gives its place back when it is closed.
+type countedConn struct {
 	net.Conn
-	once sync.Once
-	free func()
+	once    sync.Once
+	release func()
 }
 
-func (c *heldConn) Close() error {
-	c.once.Do(c.free)
+func (c *countedConn) Close() error {
+	c.once.Do(c.release)
 	return c.Conn.Close()
 }
--- a/internal/keys/keys.go
+++ b/internal/pki/pki.go
@@ -1,7 +1,7 @@
 // Package keys makes and reads the certificates by which clusters know each
 // other: mutual TLS 1.3, a certificate names its cluster. Files are read again
 // when they change, so renewed certificates are taken without a restart.
-package keys
+package pki
 
 import (
 	"bytes"
@@ -39,13 +39,13 @@
 		return err
 	}
 	now := time.Now()
-	t := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(life),
+	t := &x509.Certificate{SerialNumber: newSerialNumber(), Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(life),
 		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	if err != nil {
 		return err
 	}
-	return write(dir, CAFile, CAKeyFile, der, key, false)
+	return writeKeyPair(dir, CAFile, CAKeyFile, der, key, false)
 }
 
 // MakeCert writes a certificate of a cluster, signed by the authority in
@@ -64,7 +64,7 @@
 		return err
 	}
 	now := time.Now()
-	t := &x509.Certificate{SerialNumber: serial(), Subject: pkix.Name{CommonName: cluster}, DNSNames: []string{cluster},
+	t := &x509.Certificate{SerialNumber: newSerialNumber(), Subject: pkix.Name{CommonName: cluster}, DNSNames: []string{cluster},
 		NotBefore: now.Add(-time.Hour), NotAfter: now.Add(life), KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	if life < time.Hour { // for trials
@@ -85,10 +85,10 @@
 			return err
 		}
 	}
-	return write(dir, CertFile, KeyFile, der, key, true)
+	return writeKeyPair(dir, CertFile, KeyFile, der, key, true)
 }
 
-func serial() *big.Int {
+func newSerialNumber() *big.Int {
 	n, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
 		panic(err) // no randomness: nothing safe can be made
@@ -96,7 +96,7 @@
 	return n
 }
 
-func write(dir, certName, keyName string, der []byte, key *ecdsa.PrivateKey, replace bool) error {
+func writeKeyPair(dir, certName, keyName string, der []byte, key *ecdsa.PrivateKey, replace bool) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -110,13 +110,13 @@
 	}
 	// A reader that comes between finds a pair that does not fit, and keeps
 	// the one that it has until the next look.
-	if err := swap(private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k}), 0o600); err != nil {
+	if err := replaceFile(private, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: k}), 0o600); err != nil {
 		return err
 	}
-	return swap(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
+	return replaceFile(cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o644)
 }
 
-func swap(name string, b []byte, mode os.FileMode) error {
+func replaceFile(name string, b []byte, mode os.FileMode) error {
 	if err := os.WriteFile(name+".new", b, mode); err != nil {
 		return err
 	}
@@ -129,8 +129,8 @@
 	return hex.EncodeToString(s[:])
 }
 
-// Read gives the certificates in a PEM file.
-func Read(name string) ([]*x509.Certificate, error) {
+// ReadCertificates gives the certificates in a PEM file.
+func ReadCertificates(name string) ([]*x509.Certificate, error) {
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
@@ -155,38 +155,38 @@
 	return out, nil
 }
 
-// Peer is a partner that may be known by its certificate.
-type Peer struct {
+// Partner is a partner that may be known by its certificate.
+type Partner struct {
 	Name string
 	CA   string // file; who signs its certificates
 	Pins string // file with fingerprints of the only ones served; "": all
 }
 
-// look is how often files are looked at.
-const look = 2 * time.Second
+// checkInterval is how often files are looked at.
+const checkInterval = 2 * time.Second
 
-// Ring holds this cluster's certificate and what proves its partners'.
-type Ring struct {
-	cert, key string
-	peers     []Peer
-	mu        sync.Mutex
-	looked    time.Time
-	state     []byte // sizes and times of all files
-	own       *tls.Certificate
-	pools     map[string]*x509.CertPool
-	pins      map[string]map[string]bool
+// Store holds this cluster's certificate and what proves its partners'.
+type Store struct {
+	certFile, keyFile string
+	partners          []Partner
+	mu                sync.Mutex
+	checkedAt         time.Time
+	state             []byte // sizes and times of all files
+	own               *tls.Certificate
+	pools             map[string]*x509.CertPool
+	pins              map[string]map[string]bool
 }
 
 // Open reads all files; later a file that cannot be read leaves what was read
 // of it before.
-func Open(cert, key string, peers []Peer) (*Ring, error) {
-	r := &Ring{cert: cert, key: key, peers: peers, pools: map[string]*x509.CertPool{}, pins: map[string]map[string]bool{}}
-	return r, r.read()
+func Open(cert, key string, peers []Partner) (*Store, error) {
+	r := &Store{certFile: cert, keyFile: key, partners: peers, pools: map[string]*x509.CertPool{}, pins: map[string]map[string]bool{}}
+	return r, r.load()
 }
 
-func (r *Ring) files() []string {
-	f := []string{r.cert, r.key}
-	for _, p := range r.peers {
+func (s *Store) files() []string {
+	f := []string{s.certFile, s.keyFile}
+	for _, p := range s.partners {
 		f = append(f, p.CA)
 		if p.Pins != "" {
 			f = append(f, p.Pins)
@@ -195,9 +195,9 @@
 	return f
 }
 
-func (r *Ring) stat() []byte {
+func (s *Store) fingerprintFiles() []byte {
 	var b bytes.Buffer
-	for _, f := range r.files() {
+	for _, f := range s.files() {
 		if st, err := os.Stat(f); err == nil {
 			fmt.Fprintf(&b, "%d %d;", st.Size(), st.ModTime().UnixNano())
 		} else {
@@ -207,16 +207,16 @@
 	return b.Bytes()
 }
 
-func (r *Ring) read() error {
-	r.looked = time.Now()
-	state := r.stat()
-	own, err := tls.LoadX509KeyPair(r.cert, r.key)
+func (s *Store) load() error {
+	s.checkedAt = time.Now()
+	state := s.fingerprintFiles()
+	own, err := tls.LoadX509KeyPair(s.certFile, s.keyFile)
 	if err != nil {
 		return err
 	}
 	pools, pins := map[string]*x509.CertPool{}, map[string]map[string]bool{}
-	for _, p := range r.peers {
-		list, err := Read(p.CA)
+	for _, p := range s.partners {
+		list, err := ReadCertificates(p.CA)
 		if err != nil {
 			return err
 		}
@@ -236,53 +236,53 @@
 			}
 		}
 	}
-	r.own, r.pools, r.pins, r.state = &own, pools, pins, state
+	s.own, s.pools, s.pins, s.state = &own, pools, pins, state
 	return nil
 }
 
-// fresh reads the files again if they changed; to be called with mu held.
-func (r *Ring) fresh() {
-	if time.Since(r.looked) < look {
+// reloadIfChanged reads the files again if they changed; to be called with mu held.
+func (s *Store) reloadIfChanged() {
+	if time.Since(s.checkedAt) < checkInterval {
 		return
 	}
-	r.looked = time.Now()
-	if bytes.Equal(r.stat(), r.state) {
+	s.checkedAt = time.Now()
+	if bytes.Equal(s.fingerprintFiles(), s.state) {
 		return
 	}
-	if err := r.read(); err != nil {
+	if err := s.load(); err != nil {
 		slog.Error("keys: certificates not read anew, the earlier ones stay", "err", err)
 		return
 	}
 	slog.Info("keys: certificates read anew")
 }
 
-// Who tells which partner a connection's certificates prove. It is asked for
+// Identify tells which partner a connection's certificates prove. It is asked for
 // every request: a certificate may expire, or be taken off the pins, while a
 // connection stays open.
-func (r *Ring) Who(s *tls.ConnectionState) (string, error) {
-	if s == nil || len(s.PeerCertificates) == 0 {
+func (s *Store) Identify(state *tls.ConnectionState) (string, error) {
+	if state == nil || len(state.PeerCertificates) == 0 {
 		return "", errors.New("no certificate")
 	}
-	leaf := s.PeerCertificates[0]
-	for _, p := range r.peers {
+	leaf := state.PeerCertificates[0]
+	for _, p := range s.partners {
 		if slices.Contains(leaf.DNSNames, p.Name) {
-			return p.Name, r.proves(p.Name, s)
+			return p.Name, s.verify(p.Name, state)
 		}
 	}
 	return "", fmt.Errorf("%q is no partner", leaf.Subject.CommonName)
 }
 
-func (r *Ring) proves(name string, s *tls.ConnectionState) error {
-	r.mu.Lock()
-	r.fresh()
-	pool, pins := r.pools[name], r.pins[name]
-	r.mu.Unlock()
-	if len(s.PeerCertificates) == 0 {
+func (s *Store) verify(name string, state *tls.ConnectionState) error {
+	s.mu.Lock()
+	s.reloadIfChanged()
+	pool, pins := s.pools[name], s.pins[name]
+	s.mu.Unlock()
+	if len(state.PeerCertificates) == 0 {
 		return errors.New("no certificate")
 	}
-	leaf := s.PeerCertificates[0]
+	leaf := state.PeerCertificates[0]
 	between := x509.NewCertPool()
-	for _, c := range s.PeerCertificates[1:] {
+	for _, c := range state.PeerCertificates[1:] {
 		between.AddCert(c)
 	}
 	if _, err := leaf.Verify(x509.VerifyOptions{Roots: pool, Intermediates: between, DNSName: name,
@@ -295,28 +295,28 @@
 	return nil
 }
 
-func (r *Ring) mine() *tls.Certificate {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.fresh()
-	return r.own
+func (s *Store) ownCertificate() *tls.Certificate {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reloadIfChanged()
+	return s.own
 }
 
-// Server is the configuration of the partners' listener.
-func (r *Ring) Server() *tls.Config {
+// ServerConfig is the configuration of the partners' listener.
+func (r *Store) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true, NextProtos: []string{"http/1.1"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.mine(), nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.ownCertificate(), nil },
 		VerifyConnection: func(s tls.ConnectionState) error {
-			_, err := r.Who(&s)
+			_, err := r.Identify(&s)
 			return err
 		}}
 }
 
-// Client is the configuration for calls to a partner.
-func (r *Ring) Client(partner string) *tls.Config {
+// ClientConfig is the configuration for calls to a partner.
+func (r *Store) ClientConfig(partner string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: partner, SessionTicketsDisabled: true,
 		// Verified below, by files that may have changed since.
 		InsecureSkipVerify:   true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return r.mine(), nil },
-		VerifyConnection:     func(s tls.ConnectionState) error { return r.proves(partner, &s) }}
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return r.ownCertificate(), nil },
+		VerifyConnection:     func(s tls.ConnectionState) error { return r.verify(partner, &s) }}
 }
--- a/internal/keys/keys_test.go
+++ b/internal/pki/pki_test.go
@@ -1,4 +1,4 @@
-package keys
+package pki
 
 import (
 	"crypto/tls"
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// certs makes an authority, ca, with certificates for clusters, each in a folder
+// makeCertificates makes an authority, ca, with certificates for clusters, each in a folder
 // of its own; it gives the way to a file.
-func certs(t *testing.T, clusters ...string) func(string) string {
+func makeCertificates(t *testing.T, clusters ...string) func(string) string {
 	t.Helper()
 	dir := t.TempDir()
 	at := func(s string) string { return filepath.Join(dir, s) }
@@ -32,8 +32,8 @@
 
 // A listener of west that serves east; each caller says who it is, and what
 // came of it is compared with the list.
-func TestCallers(t *testing.T) {
-	at := certs(t, "west", "east", "north")
+func TestCallerIdentity(t *testing.T) {
+	at := makeCertificates(t, "west", "east", "north")
 	for _, err := range []error{MakeCA(at("other"), "other", time.Hour), MakeCert(at("fake"), at("other"), "east", time.Hour),
 		MakeCert(at("old"), at("ca"), "east", -time.Second)} {
 		if err != nil {
@@ -41,7 +41,7 @@
 		}
 	}
 	ca := at("ca/" + CAFile)
-	west, err := Open(at("west/"+CertFile), at("west/"+KeyFile), []Peer{{Name: "east", CA: ca, Pins: ""}})
+	west, err := Open(at("west/"+CertFile), at("west/"+KeyFile), []Partner{{Name: "east", CA: ca, Pins: ""}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := Listen(ln, west.Server(), 16)
+	k := Listen(ln, west.ServerConfig(), 16)
 	defer k.Close()
 	go func() {
 		for {
@@ -57,17 +57,17 @@
 			if err != nil {
 				return
 			}
-			who, err := west.Who(ptr(c.(*tls.Conn).ConnectionState()))
+			who, err := west.Identify(ptr(c.(*tls.Conn).ConnectionState()))
 			fmt.Fprintf(c, "%s %v", who, err)
 			c.Close()
 		}
 	}()
 	call := func(folder string) string {
-		r, err := Open(at(folder+"/"+CertFile), at(folder+"/"+KeyFile), []Peer{{Name: "west", CA: ca}})
+		r, err := Open(at(folder+"/"+CertFile), at(folder+"/"+KeyFile), []Partner{{Name: "west", CA: ca}})
 		if err != nil {
 			return err.Error()
 		}
-		c, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp4", ln.Addr().String(), r.Client("west"))
+		c, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp4", ln.Addr().String(), r.ClientConfig("west"))
 		if err != nil {
 			return err.Error()
 		}
@@ -103,9 +103,9 @@
 
 // Files that change are taken at the next look; a certificate that is off the
 // pins is not served any more, on open connections too.
-func TestRenewedAndRevoked(t *testing.T) {
-	at := certs(t, "west", "east")
-	east, err := Read(at("east/" + CertFile))
+func TestRenewalAndRevocation(t *testing.T) {
+	at := makeCertificates(t, "west", "east")
+	east, err := ReadCertificates(at("east/" + CertFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,26 +115,26 @@
 		}
 	}
 	pin(Fingerprint(east[0]) + "\n")
-	r, err := Open(at("west/"+CertFile), at("west/"+KeyFile), []Peer{{Name: "east", CA: at("ca/" + CAFile), Pins: at("pins")}})
+	r, err := Open(at("west/"+CertFile), at("west/"+KeyFile), []Partner{{Name: "east", CA: at("ca/" + CAFile), Pins: at("pins")}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	state := &tls.ConnectionState{PeerCertificates: east}
-	if who, err := r.Who(state); who != "east" || err != nil {
+	if who, err := r.Identify(state); who != "east" || err != nil {
 		t.Fatalf("pinned: %q %v", who, err)
 	}
-	before := r.mine()
+	before := r.ownCertificate()
 	if err := MakeCert(at("west"), at("ca"), "west", time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	pin("none of them, now\n")
 	r.mu.Lock()
-	r.looked = time.Time{} // the next look is due
+	r.checkedAt = time.Time{} // the next look is due
 	r.mu.Unlock()
-	if _, err := r.Who(state); err == nil || !strings.Contains(err.Error(), "pins") {
+	if _, err := r.Identify(state); err == nil || !strings.Contains(err.Error(), "pins") {
 		t.Errorf("off the pins: %v", err)
 	}
-	if string(r.mine().Certificate[0]) == string(before.Certificate[0]) {
+	if string(r.ownCertificate().Certificate[0]) == string(before.Certificate[0]) {
 		t.Error("the renewed certificate was not taken")
 	}
 	// A file that is broken leaves what was there.
@@ -142,9 +142,9 @@
 		t.Fatal(err)
 	}
 	r.mu.Lock()
-	r.looked = time.Time{}
+	r.checkedAt = time.Time{}
 	r.mu.Unlock()
-	if r.mine() == nil {
+	if r.ownCertificate() == nil {
 		t.Error("a broken file took the certificate away")
 	}
 	if err := MakeCA(at("ca"), "again", time.Hour); err == nil {
@@ -154,10 +154,10 @@
 
 // Callers that say nothing hold places for a moment only: one that proves who it
 // is gets in soon.
-func TestSilentCallers(t *testing.T) {
-	at := certs(t, "west", "east")
-	open := func(own, peer string) *Ring {
-		r, err := Open(at(own+"/"+CertFile), at(own+"/"+KeyFile), []Peer{{Name: peer, CA: at("ca/" + CAFile)}})
+func TestSilentCallersDoNotBlockOthers(t *testing.T) {
+	at := makeCertificates(t, "west", "east")
+	open := func(own, peer string) *Store {
+		r, err := Open(at(own+"/"+CertFile), at(own+"/"+KeyFile), []Partner{{Name: peer, CA: at("ca/" + CAFile)}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	const places = 8
-	k := Listen(ln, open("west", "east").Server(), places)
+	k := Listen(ln, open("west", "east").ServerConfig(), places)
 	defer k.Close()
 	go func() {
 		for {
@@ -188,11 +188,11 @@
 		defer c.Close()
 	}
 	east := open("east", "west")
-	end := time.Now().Add(4 * patience)
+	end := time.Now().Add(4 * handshakeTimeout)
 	for time.Now().Before(end) {
-		c, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp4", ln.Addr().String(), east.Client("west"))
+		c, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp4", ln.Addr().String(), east.ClientConfig("west"))
 		if err != nil {
-			time.Sleep(patience / 20)
+			time.Sleep(handshakeTimeout / 20)
 			continue
 		}
 		_ = c.SetDeadline(time.Now().Add(time.Second))
--- a/internal/wire/wire_test.go
+++ b/internal/protocol/protocol_test.go
@@ -1,13 +1,13 @@
-package wire
+package protocol
 
 import (
 	"math"
 	"testing"
 )
 
-func TestCheck(t *testing.T) {
+func TestSubmissionValidate(t *testing.T) {
 	ok := func() map[string]any {
-		return map[string]any{"id": "wk-1", "trade": "t", "crew": "c", "shape": Array, "rank": "standard", "pieces": 3, "cores": 1,
+		return map[string]any{"id": "wk-1", "trade": "t", "crew": "c", "shape": ShapeArray, "rank": "standard", "pieces": 3, "cores": 1,
 			"accelerators": 0, "memoryGb": 1.5, "kit": "img", "pullGb": 0.5, "builds": nil, "yard": nil, "together": false,
 			"apart": false, "loaners": true, "reckonS": 10, "markS": 0, "stowS": 0, "dueS": nil, "unheard": "of"}
 	}
@@ -48,7 +48,7 @@
 		err := Decode(Encode(body), &s)
 		good := err == nil
 		if good {
-			_, bad := s.Check()
+			_, bad := s.Validate()
 			good = bad == ""
 		}
 		if good != c.good {
--- a/internal/loan/main_test.go
+++ b/internal/remotelease/main_test.go
@@ -1,4 +1,4 @@
-package loan
+package remotelease
 
 import (
 	"flag"
--- a/internal/loan/loan_test.go
+++ b/internal/remotelease/remotelease_test.go
@@ -1,4 +1,4 @@
-package loan
+package remotelease
 
 import (
 	"fmt"
@@ -84,18 +84,18 @@
 
 func newPlay(r rule, rates [4]float64) *play {
 	p := &play{r: r, lent: true, home: 1 + rates[0]*drift, host: [2]float64{1 + rates[1]*drift, 1 + rates[2]*drift}, work: 1 + rates[3]*drift}
-	p.rules = Rules{Term: LongestTerm(cancel, lease, drift), Lease: lease, Drift: drift}
+	p.rules = Rules{Term: MaxTerm(cancel, lease, drift), MachineLease: lease, ClockDrift: drift}
 	if r.noDrift {
-		p.rules.Drift = 0
+		p.rules.ClockDrift = 0
 	}
 	if r.noLease {
-		p.rules.Lease = 0
+		p.rules.MachineLease = 0
 	}
 	if r.longTerm {
 		p.rules.Term = cancel - lease/2
 	}
 	p.renewals = NewRenewals(0)
-	p.renewals.Drawn(key)
+	p.renewals.RecordIssued(key)
 	return p
 }
 
@@ -142,7 +142,7 @@
 			// On proof the answer is from the record as it is now.
 			hold := p.lent || p.r.noProof
 			if hold {
-				p.renewals.Held(key, p.homeNow())
+				p.renewals.RecordRenewed(key, p.homeNow())
 			}
 			p.answers = append(p.answers, answer{q, hold})
 		}
@@ -155,19 +155,19 @@
 			if a.hold {
 				p.permit[a.from].Renew(sent, p.rules.Term)
 			} else {
-				p.permit[a.from].End()
+				p.permit[a.from].Revoke()
 			}
 		}
 	case 5:
 		p.reports = append(p.reports, report{s.Pick % 2, at(p.work, p.now), p.session})
 	case 6: // a controller answers a report
 		if r, ok := pick(&p.reports, s.Pick, again); ok {
-			good := p.permit[r.to].Good(at(p.host[r.to], p.now))
+			good := p.permit[r.to].IsValid(at(p.host[r.to], p.now))
 			p.orders = append(p.orders, order{r, good, !good, false})
 		}
 	case 7:
 		i := s.Pick % 2
-		if p.r.direct && p.permit[i].Good(at(p.host[i], p.now)) {
+		if p.r.direct && p.permit[i].IsValid(at(p.host[i], p.now)) {
 			p.orders = append(p.orders, order{report{i, 0, p.session}, true, false, true})
 		}
 	case 8: // the worker takes it
@@ -184,10 +184,10 @@
 	case 10: // another leader; it cannot know what the one before answered
 		p.renewals = NewRenewals(p.homeNow())
 		if p.r.noBound {
-			p.renewals.Drawn(key)
+			p.renewals.RecordIssued(key)
 		}
 	case 11: // home takes the task back as soon as it may
-		if p.lent && p.renewals.Over(key, p.rules, p.homeNow()) {
+		if p.lent && p.renewals.IsExpired(key, p.rules, p.homeNow()) {
 			p.lent, p.atHome = false, true
 		}
 	case 12:
@@ -199,8 +199,8 @@
 		i := s.Pick % 2
 		p.pass(time.Duration(float64(p.permit[i].until)/p.host[i]) - p.now - time.Duration(s.Ms%20+1)*time.Millisecond)
 	case 14: // as soon as home may
-		if t, ok := p.renewals.Last(key); ok {
-			p.pass(time.Duration(float64(t+p.rules.Quiet())/p.home) - p.now + time.Millisecond)
+		if t, ok := p.renewals.LastRenewal(key); ok {
+			p.pass(time.Duration(float64(t+p.rules.ExpiresAfter())/p.home) - p.now + time.Millisecond)
 		}
 	case 15: // the newest message to the worker arrives
 		if n := len(p.orders); n > 0 {
@@ -330,16 +330,16 @@
 
 func TestNames(t *testing.T) {
 	k := Key{"wk-000412.b", 40, 9}
-	home, got, ok := Parse(k.ID("west"))
+	home, got, ok := ParseJobID(k.JobID("west"))
 	if !ok || home != "west" || got != k {
-		t.Errorf("%q reads as %q %+v %v", k.ID("west"), home, got, ok)
+		t.Errorf("%q reads as %q %+v %v", k.JobID("west"), home, got, ok)
 	}
 	for _, id := range []string{"wk-1", "wk-at.", "wk-at.West.1.0.x", "wk-at.west.x.0.y", "wk-at.west.1.-1.y", "wk-at.west.1.2"} {
-		if _, _, ok := Parse(id); ok {
+		if _, _, ok := ParseJobID(id); ok {
 			t.Errorf("%q was read", id)
 		}
 	}
-	if id := (Key{"wk-" + string(make([]byte, 100)), 0, 1}).ID("west"); id != "" {
+	if id := (Key{"wk-" + string(make([]byte, 100)), 0, 1}).JobID("west"); id != "" {
 		t.Error("a name over the limit was given")
 	}
 }
--- a/internal/settings/federation.go
+++ b/internal/settings/federation.go
@@ -12,7 +12,7 @@
 
 	"gopkg.in/ini.v1"
 
-	"curlewspool/internal/loan"
+	"curlewspool/internal/remotelease"
 )
 
 // Federation names this cluster to its partners; nil without a [federation]
@@ -89,7 +89,7 @@
 	if err := r.done(); err != nil {
 		return err
 	}
-	if !loan.ValidCluster(f.Cluster) {
+	if !remotelease.IsValidClusterName(f.Cluster) {
 		return fmt.Errorf("[federation] cluster: %q must be 1 to 20 of a-z, 0-9 and -", f.Cluster)
 	}
 	host, _, _ := net.SplitHostPort(s.API)
@@ -117,7 +117,7 @@
 }
 
 func (s *Settings) partner(sec *ini.Section, name, dir string) (*Partner, error) {
-	if !loan.ValidCluster(name) {
+	if !remotelease.IsValidClusterName(name) {
 		return nil, errors.New("a cluster's name is 1 to 20 of a-z, 0-9 and -")
 	}
 	r := &reader{sec: sec, dir: dir}
@@ -141,7 +141,7 @@
 			return nil, errors.New("lease_s, the lease of its workers, is missing")
 		}
 		// An abort must be over within cancel_s though the partner cannot be told.
-		longest := loan.LongestTerm(seconds(s.Deployment.Workers.Cancel), p.Lease, Drift)
+		longest := remotelease.MaxTerm(seconds(s.Deployment.Workers.Cancel), p.Lease, Drift)
 		p.Term = min(p.Term, longest)
 		if least := seconds(2 * s.Deployment.Workers.Report); p.Term < least {
 			return nil, fmt.Errorf("nothing can go there: cancel_s leaves a term of %v beside a lease of %v, at least %v is needed", longest, p.Lease, least)
--- a/internal/standin/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 
 // digestKinds are the first seeds of the kinds of random days; the digests take turns
 // among them.
-var digestKinds = []int{0, delayedMessageDays, unreachableDays, staleAnswerDays, vouchDays, combinedDays, pipelineDays}
+var digestKinds = []int{0, delayedMessageDays, unreachableDays, staleAnswerDays, vouchedOutageDays, combinedDays, pipelineDays}
 
 // trafficDigest is a hash of all that crossed the network of one random day: times,
 // senders, receivers, methods, paths, statuses and bodies.
@@ -35,7 +35,7 @@
 // TestTrafficDigests writes the digests of random days of all kinds, by which two
 // versions of the sources can be compared: equal digests mean equal behaviour on these
 // days. Without -digests it checks that a day's digest does not depend on the run:
-// go test ./internal/standin -run TestTrafficDigests -digests FILE -first 1 -days 600
+// go test ./internal/simulator -run TestTrafficDigests -digests FILE -first 1 -days 600
 func TestTrafficDigests(t *testing.T) {
 	if *digestFile == "" {
 		seed := combinedDays + *firstDay
--- a/internal/standin/job_end_test.go
+++ b/internal/simulator/job_end_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // Users' requests that come as a job ends.
@@ -15,29 +15,29 @@
 // task, with no other trouble or with a state service that answers up to 1.2 s late:
 // before it ends, at the same moment, while its end is stored and after. Whatever was
 // answered first stays so, at each controller, and nothing of a cancelled job is left.
-func TestEndMeetsItsUser(t *testing.T) {
+func TestRequestsAsJobCompletes(t *testing.T) {
 	kinds := []struct {
 		name, shape string
 		tasks       int
 		single      bool
-	}{{"single task", wire.Array, 1, false}, {"single task of a rush", wire.Array, 1, true}, {"array of three", wire.Array, 3, false}, {"gang", wire.Gang, 2, false}}
+	}{{"single task", protocol.ShapeArray, 1, false}, {"single task of a rush", protocol.ShapeArray, 1, true}, {"array of three", protocol.ShapeArray, 3, false}, {"gang", protocol.ShapeGang, 2, false}}
 	ends := map[string]int{}
 	for i, kind := range kinds {
 		for k, slow := range []float64{0, 1.2} {
-			sub := Spec("wk-1", kind.shape, kind.tasks, 1, 5, nil)
-			play := func(meet func(s *Sim)) *Sim {
-				s := New(uint64(830 + 10*i + k))
-				s.API()
-				fleet(s, 3, 0)
-				for _, n := range s.all {
+			sub := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5, nil)
+			play := func(meet func(s *Cluster)) *Cluster {
+				s := NewCluster(uint64(830 + 10*i + k))
+				s.ServeAPI()
+				addMachines(s, 3, 0)
+				for _, n := range s.controllerNames {
 					if kind.single {
-						s.Nodes[n].set.Dispatch.Anywhere = 0
+						s.Controllers[n].settings.Dispatch.Anywhere = 0
 					}
 				}
 				s.Submit(5, sub)
 				if slow > 0 {
 					s.At(7, func() {
-						s.State.Slow = func(string) time.Duration { return time.Duration(slow * s.rnd.Float64() * float64(time.Second)) }
+						s.State.ResponseDelay = func(string) time.Duration { return time.Duration(slow * s.random.Float64() * float64(time.Second)) }
 					})
 				}
 				meet(s)
@@ -46,38 +46,38 @@
 				return s
 			}
 			end := 0.0 // when its last task ends, if nobody meddles
-			plain := play(func(*Sim) {})
-			for _, line := range plain.Traced {
+			plain := play(func(*Cluster) {})
+			for _, line := range plain.TraceLines {
 				if strings.HasSuffix(line, " done") && strings.Contains(line, "wk-1/") {
 					fmt.Sscanf(line, "%f", &end)
 				}
 			}
-			told(t, plain, wire.Done, "wk-1")
+			expectStatus(t, plain, protocol.JobDone, "wk-1")
 			for _, first := range []string{"cancel", "ask", "submit"} {
 				for d := -0.04 - slow; d < 0.1+slow; d += 0.01 + slow/12 {
-					s := play(func(s *Sim) {
+					s := play(func(s *Cluster) {
 						for x, what := range []string{first, "ask", "cancel", "submit", "ask"} {
-							s.At(end+d+(0.003+slow/4)*float64(x), func() { s.again(s.all[x%3], what, sub) })
+							s.At(end+d+(0.003+slow/4)*float64(x), func() { s.repeatRequest(s.controllerNames[x%3], what, sub) })
 						}
-						for x, n := range s.all {
-							s.At(end+12+float64(x), func() { s.again(n, "submit", sub); s.again(n, "ask", sub) })
+						for x, n := range s.controllerNames {
+							s.At(end+12+float64(x), func() { s.repeatRequest(n, "submit", sub); s.repeatRequest(n, "ask", sub) })
 						}
 					})
-					for _, b := range s.Broken {
+					for _, b := range s.Violations {
 						t.Errorf("%s, slow %v, %s %.3f s after the end: %s", kind.name, slow, first, d, b)
 					}
-					if got := s.Told("wk-1"); got != wire.Done && got != wire.Withdrawn {
+					if got := s.ReportedStatus("wk-1"); got != protocol.JobDone && got != protocol.JobCancelled {
 						t.Errorf("%s, slow %v, %s %.3f s after the end: it is %q", kind.name, slow, first, d, got)
 					}
-					if on := s.On("wk-1"); len(on) > 0 {
+					if on := s.MachinesRunning("wk-1"); len(on) > 0 {
 						t.Errorf("%s: still on %v", kind.name, on)
 					}
-					ends[s.Told("wk-1")]++
+					ends[s.ReportedStatus("wk-1")]++
 				}
 			}
 		}
 	}
-	if ends[wire.Done] < 50 || ends[wire.Withdrawn] < 50 {
+	if ends[protocol.JobDone] < 50 || ends[protocol.JobCancelled] < 50 {
 		t.Errorf("ends %v: too few to tell", ends)
 	}
 	t.Logf("ends: %v", ends)
--- /dev/null
+++ b/internal/simulator/late_writes_test.go
@@ -0,0 +1,362 @@
+package simulator
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// Transactions that are carried out late, after newer ones, or answered late.
+
+// A part is taken by force from an owner that is well and learns of it late (its
+// requests for changes get no answer for some seconds), and in between a single task
+// that may be anywhere is accepted by that owner: the answer to its own write is its
+// only news. The taker, for whom the record is newer than its key, starts the task at
+// once. Found by reading: both started it.
+func TestNewOwnerStartsTaskBeforeItsRecord(t *testing.T) {
+	for seed := uint64(720); seed < 740; seed++ {
+		s := NewCluster(seed)
+		s.ServeAPI()
+		w := addMachines(s, 9, 0)
+		for _, n := range s.controllerNames {
+			s.Controllers[n].settings.Dispatch.Anywhere = 0
+		}
+		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 3, 1, 4, nil))
+		var old *ControllerProcess
+		taker, k := "", int32(0)
+		s.At(11, func() {
+			old = s.nonLeaderOwner()
+			k = int32(old.Controller.DebugState().Shards[0].Shard)
+			for _, n := range s.controllerNames {
+				if h := s.Controllers[n]; h != old && h != s.leaderProcess() {
+					taker = n
+				}
+			}
+			if taker == "" || old == s.leaderProcess() {
+				t.Fatal("no controllers to play it with")
+			}
+			for _, x := range w[:6] { // the old owner alone reaches most machines
+				if s.ownerOf(x) == old {
+					s.cutLink(x.Address(), taker)
+					s.cutLink(x.Address(), s.apiAddress(taker))
+				}
+			}
+			s.DelayedRequests = append(s.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
+				return 0, s.now < 15*time.Second && from == old.name && strings.HasPrefix(path, "/changes")
+			})
+		})
+		s.Submit(11.05, NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 4, nil)) // ends the watch that is open
+		s.At(11.5, func() {
+			s.Controllers[taker].Controller.HandlePeerMessage(&peermsg.Envelope{From: s.leaderProcess().name, Body: &peermsg.Envelope_ShardAssignment{ShardAssignment: &peermsg.ShardAssignment{Shard: k}}})
+		})
+		for i := range 6 {
+			id := fmt.Sprintf("wk-s%d", i)
+			s.At(11.55+float64(i)/20, func() {
+				sub := NewSubmission(id, protocol.ShapeArray, 1, 1, 20, nil)
+				s.jobs[id], _ = sub.Validate()
+				s.request("user", s.apiAddress(old.name), "POST", "/v2/runs", sub, nil, 5*time.Second, func(status int) {
+					s.Trace("%s accepted: %d", id, status)
+				})
+			})
+		}
+		s.Start()
+		s.Run(60)
+		for _, b := range s.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, b)
+		}
+		if !strings.Contains(s.TraceText(), "starts wk-s0/0") || !strings.Contains(s.TraceText(), "starts wk-s5/0") {
+			t.Errorf("seed %d: not all of the single tasks started", seed)
+		}
+	}
+}
+
+// writes are the kinds of transactions, told by what they change.
+var writes = []struct {
+	name string
+	is   func(o []protocol.Mutation) bool
+}{
+
+	{"an acceptance or a move", func(o []protocol.Mutation) bool { return puts(o, "a/j/") }},
+	{"an end", func(o []protocol.Mutation) bool { return puts(o, "d/") }},
+	{"progress", func(o []protocol.Mutation) bool { return puts(o, "a/p/") }},
+	{"progress that is removed", func(o []protocol.Mutation) bool { return deletes(o, "a/p/") }},
+	{"a roster", func(o []protocol.Mutation) bool { return puts(o, "a/m/") }},
+	{"a claim and its token", func(o []protocol.Mutation) bool { return puts(o, "a/o/") && puts(o, "a/c/") }},
+	{"a release", func(o []protocol.Mutation) bool { return deletes(o, "a/o/") }},
+	{"a sign of life", func(o []protocol.Mutation) bool { return puts(o, "a/h/") }},
+}
+
+func puts(ops []protocol.Mutation, under string) bool {
+	return slices.ContainsFunc(ops, func(o protocol.Mutation) bool { return strings.HasPrefix(o.Put, under) })
+}
+
+func deletes(ops []protocol.Mutation, under string) bool {
+	return slices.ContainsFunc(ops, func(o protocol.Mutation) bool { return strings.HasPrefix(o.Delete, under) })
+}
+
+// Each kind of write late by 2 to 12 s, alone and in pairs: half of those that are made
+// in 30 s get no answer, while parts change hands by a refusal, a crash and a release,
+// machines are rented and lent, and jobs are accepted, moved, cancelled and done.
+func TestDelayedWrites(t *testing.T) {
+	if testing.Short() {
+		t.Skip("some seconds")
+	}
+	seen := map[string]int{}
+	for i := range writes {
+		for k := i; k < len(writes); k++ {
+			name := writes[i].name + " and " + writes[k].name
+			s := NewCluster(uint64(900 + 10*i + k))
+			s.ServeAPI()
+			w := submitStandardLoad(s)
+			s.Cloud.Capacity["small/a/false"] = 3
+			s.DelayedRequests = append(s.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
+				var x protocol.Transaction
+				if path != "/multi" || s.now < 7*time.Second || s.now > 37*time.Second || protocol.Decode(body, &x) != nil {
+					return 0, false
+				}
+				for _, kind := range []int{i, k} {
+					if writes[kind].is(x.Mutations) && s.random.IntN(2) == 0 {
+						seen[writes[kind].name]++
+						return time.Duration((2 + 10*s.random.Float64()) * float64(time.Second)), true
+					}
+				}
+				return 0, false
+			})
+			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 12, 1, 8, nil))
+			s.Submit(10, NewSubmission("wk-5", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
+			s.Submit(12, NewSubmission("wk-6", protocol.ShapeArray, 30, 1, 6, nil))
+			s.Submit(15, NewSubmission("wk-7", protocol.ShapeArray, 6, 1, 40, nil))
+			s.Cancel(20, "wk-7")
+			s.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}}) // signs of life
+			s.At(11, func() { s.SetRefusal("n1", "state", true) })
+			s.At(17, func() { s.SetRefusal("n1", "state", false) })
+			s.At(14, func() { w[5].Die() })
+			s.restartQuickly(22, 0.5, s.nonLeaderOwner)
+			s.restartQuickly(28, 4, s.leaderProcess)
+			s.Start()
+			s.Run(200)
+			for _, b := range s.Violations {
+				t.Errorf("%s: rule broken: %s", name, b)
+			}
+			for _, id := range []string{"wk-1", "wk-2", "wk-4", "wk-5", "wk-6"} {
+				if got := s.ReportedStatus(id); got != protocol.JobDone {
+					t.Errorf("%s: %s is %q", name, id, got)
+				}
+			}
+			for _, id := range []string{"wk-3", "wk-7"} {
+				if got := s.ReportedStatus(id); got != protocol.JobCancelled {
+					t.Errorf("%s: %s is %q, was to be cancelled", name, id, got)
+				}
+			}
+		}
+	}
+	for _, kind := range writes {
+		if seen[kind.name] == 0 {
+			t.Errorf("no write was late that is %s", kind.name)
+		}
+	}
+	t.Logf("late: %v", seen)
+}
+
+// onChunkMove calls f at once for each job of which a chunk moves, from a time on.
+func (c *Cluster) onChunkMove(from float64, f func(id string)) {
+	seen, read := map[string]bool{}, 0
+	var look func()
+	look = func() {
+		for ; read < len(c.State.changeLog); read++ {
+			if id, ok := strings.CutPrefix(c.State.changeLog[read].Put, shard.JobKey("")); ok {
+				if seen[id] && c.cancelledAt[id] == 0 {
+					f(id)
+				}
+				seen[id] = true
+			}
+		}
+		c.after(2*time.Millisecond, look)
+	}
+	c.At(from, look)
+}
+
+// makePartsUneven has some parts full for longer than they seemed to be, so that chunks move.
+func (c *Cluster) makePartsUneven() {
+	c.RuntimeFactors = map[string]float64{"long": 6}
+	for i := range 24 {
+		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, func(x *protocol.Submission) {
+			if i%3 == 0 {
+				x.Class = stringPointer("long")
+			}
+		}))
+	}
+}
+
+// A chunk moves to another part, the state service carries that out at once and answers
+// late, and in between the job is called off through another controller. The mover, who
+// had been told of the deletion, took the answer for news: the job lived on in its cache
+// for good, was asked for and told as pending, and was started again.
+func TestCancellationDuringChunkMove(t *testing.T) {
+	met := 0
+	for seed := uint64(1400); seed < 1412; seed++ {
+		s := NewCluster(seed)
+		s.ServeAPI()
+		addMachines(s, 9, 0)
+		s.State.ResponseDelay = func(path string) time.Duration {
+			if path == "/multi" {
+				return 700 * time.Millisecond
+			}
+			return 0
+		}
+		s.DropCancellationNotices = seed%2 == 1 // the word of the cancellation covers most of it
+		s.makePartsUneven()
+		s.onChunkMove(6, func(id string) {
+			met++
+			s.requestCancellation(id)
+		})
+		s.Start()
+		s.Run(120)
+		for _, b := range s.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, b)
+		}
+		for id, at := range s.cancelledAt {
+			if p := s.histories.job(id); at > 1 && p.startsAfterCancellation > 0 {
+				t.Errorf("seed %d: %d tasks of %s began after its cancellation", seed, p.startsAfterCancellation, id)
+			}
+		}
+		for _, x := range s.staleCaches() {
+			t.Errorf("seed %d: %s", seed, x)
+		}
+	}
+	if met < 10 {
+		t.Errorf("%d chunks moved and were called off, too few to tell", met)
+	}
+}
+
+// delayWritesFor has a share of the transactions that change something of a kind get no
+// answer and be carried out least to most seconds later.
+func (c *Cluster) delayWritesFor(from, to, share, least, most float64, is func(o []protocol.Mutation) bool) (met *int) {
+	met = new(int)
+	c.DelayedRequests = append(c.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
+		var x protocol.Transaction
+		if now := c.now.Seconds(); path != "/multi" || now < from || now > to || protocol.Decode(body, &x) != nil || !is(x.Mutations) || c.random.Float64() >= share {
+			return 0, false
+		}
+		*met++
+		return time.Duration((least + (most-least)*c.random.Float64()) * float64(time.Second)), true
+	})
+	return met
+}
+
+// A chunk's move gets no answer and is carried out seconds later. Nothing of the chunk may
+// start where it was until it is known what became of the move: given up as one that was
+// not made, it came true after its tasks had started there, and they started again in the
+// other part.
+func TestDelayedChunkMoves(t *testing.T) {
+	met := 0
+	for seed := uint64(1420); seed < 1432; seed++ {
+		s := NewCluster(seed)
+		s.ServeAPI()
+		addMachines(s, 9, 0)
+		s.makePartsUneven()
+		moved := s.delayWritesFor(6, 60, 0.8, 2, 12, func(o []protocol.Mutation) bool {
+			return len(o) > 0 && strings.HasPrefix(o[0].Put, shard.JobKey("")) && s.State.entries[o[0].Put].Revision > 0
+		})
+		s.Start()
+		s.Run(150)
+		met += *moved
+		for _, b := range s.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, b)
+		}
+		for id := range s.jobs {
+			expectStatus(t, s, protocol.JobDone, id)
+		}
+	}
+	if met < 20 {
+		t.Errorf("%d moves were late, too few to tell", met)
+	}
+}
+
+// The first record of where a job may be gets no answer, a copy of it does, and newer ones
+// follow that name a machine which has come up since; then the first is carried out after
+// all, the owner ends, and that machine reaches nobody while others have room. The older
+// record must not take the newer one's place: what runs there would be started again.
+func TestDelayedPlacementRecords(t *testing.T) {
+	met := 0
+	for seed := uint64(1440); seed < 1446; seed++ {
+		s := NewCluster(seed)
+		s.ServeAPI()
+		addMachines(s, 3, 0)
+		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 14, 1, 60, nil))
+		late := s.delayWritesFor(5, 6.5, 1, 9, 9, func(o []protocol.Mutation) bool { return puts(o, "a/p/wk-1") })
+		var w *Machine
+		s.At(7, func() { w = s.AddMachine("small", "a", false) })
+		s.At(16.5, func() {
+			if len(w.attempts) == 0 {
+				t.Fatalf("seed %d: nothing runs on the new machine", seed)
+			}
+			s.Trace("%s is out of reach", w.id)
+			for _, p := range s.machineLinks(w) {
+				s.cutLink(p[0], p[1])
+			}
+			for _, n := range s.controllerNames {
+				s.Controllers[n].Crash()
+				s.after(time.Second, s.Controllers[n].Start)
+			}
+			for range 6 { // room in each part
+				s.AddMachine("small", "a", false)
+			}
+			s.after(40*time.Second, func() {
+				for _, p := range s.machineLinks(w) {
+					s.healLink(p[0], p[1])
+				}
+			})
+		})
+		s.Start()
+		s.Run(600)
+		met += *late
+		for _, b := range s.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, b)
+		}
+		expectStatus(t, s, protocol.JobDone, "wk-1")
+	}
+	if met == 0 {
+		t.Error("no record was late")
+	}
+}
+
+// A cancellation meets the end of the job's last task, gets no answer and is carried out
+// seconds later, when users have been told that the job is done: it stays so.
+func TestDelayedCancellations(t *testing.T) {
+	ends := map[string]int{}
+	for i := range 40 {
+		s := NewCluster(uint64(1460 + i))
+		s.ServeAPI()
+		addMachines(s, 3, 0)
+		sub := NewSubmission("wk-1", protocol.ShapeArray, 2, 1, 5, nil)
+		s.Submit(5, sub)
+		late := s.delayWritesFor(6, 40, 1, 1, 4, func(o []protocol.Mutation) bool {
+			var f shard.FinalRecord
+			return puts(o, "d/") && protocol.Decode(o[0].Value, &f) == nil && f.Status == protocol.JobCancelled
+		})
+		s.OnJobCompleted = func(string) { // while its end is being stored, and before and after
+			s.after(time.Duration(i)*2*time.Millisecond, func() { s.repeatRequest(s.controllerNames[i%3], "cancel", sub) })
+		}
+		for k := range 40 {
+			s.At(12+float64(k)/4, func() { s.repeatRequest(s.controllerNames[k%3], "ask", sub) })
+		}
+		s.Start()
+		s.Run(40)
+		for _, b := range s.Violations {
+			t.Errorf("%d ms after the end: rule broken: %s", 2*i, b)
+		}
+		if *late > 0 {
+			ends[s.ReportedStatus("wk-1")]++
+		}
+	}
+	if ends[protocol.JobDone] < 3 {
+		t.Errorf("ends %v of cancellations that were late: too few to tell", ends)
+	}
+}
--- a/internal/standin/live.go
+++ b/internal/simulator/live.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"container/heap"
@@ -11,16 +11,16 @@
 
 	"github.com/valyala/fasthttp"
 
+	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
-	"curlewspool/internal/wire"
 )
 
-// Live drives the stand-ins by the real clock and real sockets of the
+// LiveNetwork drives the stand-ins by the real clock and real sockets of the
 // loopback, for controllers that are real processes. One goroutine owns all
 // state; the others translate between sockets and its queue.
-type Live struct {
+type LiveNetwork struct {
 	Log     io.Writer // the trace, if set
-	net     *Net
+	net     *Network
 	start   time.Time
 	queue   chan func()
 	done    chan struct{}
@@ -29,10 +29,10 @@
 	servers map[string]*fasthttp.Server
 }
 
-// NewLive starts the clock of an empty network; Run plays it.
-func NewLive(seed uint64) (*Net, *Live) {
-	n := newNet(seed)
-	l := &Live{net: n, start: time.Now(), queue: make(chan func(), 4096), done: make(chan struct{}), servers: map[string]*fasthttp.Server{},
+// NewLiveNetwork starts the clock of an empty network; Run plays it.
+func NewLiveNetwork(seed uint64) (*Network, *LiveNetwork) {
+	n := newNetwork(seed)
+	l := &LiveNetwork{net: n, start: time.Now(), queue: make(chan func(), 4096), done: make(chan struct{}), servers: map[string]*fasthttp.Server{},
 		client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 1 << 14, NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			Dial: func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, time.Second) }}}
 	n.live = l
@@ -40,13 +40,13 @@
 }
 
 // Run plays until ctx ends, then closes all sockets.
-func (l *Live) Run(ctx context.Context) {
+func (l *LiveNetwork) Run(ctx context.Context) {
 	n := l.net
 	timer := time.NewTimer(0)
 	for {
 		n.now = time.Since(l.start)
 		for len(n.queue) > 0 && n.queue[0].at <= n.now {
-			heap.Pop(&n.queue).(event).f()
+			heap.Pop(&n.queue).(event).run()
 		}
 		wait := time.Second
 		if len(n.queue) > 0 {
@@ -73,7 +73,7 @@
 
 // Do runs f on the owner's goroutine and waits for it; false when Run has
 // ended.
-func (l *Live) Do(f func()) bool {
+func (l *LiveNetwork) Do(f func()) bool {
 	ch := make(chan struct{})
 	if !l.post(func() { f(); close(ch) }) {
 		return false
@@ -86,7 +86,7 @@
 	}
 }
 
-func (l *Live) post(f func()) bool {
+func (l *LiveNetwork) post(f func()) bool {
 	select {
 	case l.queue <- f:
 		return true
@@ -95,27 +95,27 @@
 	}
 }
 
-// slowest is how long an answer may take: a watch is held for up to a minute.
-const slowest = 70 * time.Second
+// maxResponseTime is how long an answer may take: a watch is held for up to a minute.
+const maxResponseTime = 70 * time.Second
 
-type reply struct {
+type response struct {
 	status int
 	body   []byte
 }
 
 // listen serves at a free port of the loopback and gives its address; without
 // one the stand-in could not exist, so it panics.
-func (l *Live) listen(srv server) string {
+func (l *LiveNetwork) listen(srv requestHandler) string {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		panic(fmt.Sprintf("no free port on the loopback: %v", err))
 	}
-	return l.serve(ln, func(method, path string, body []byte, answer func(reply)) {
+	return l.serve(ln, func(method, path string, body []byte, answer func(response)) {
 		l.post(func() {
 			srv(method, path, body, func(status int, b any) {
-				r := reply{status: status}
+				r := response{status: status}
 				if b != nil {
-					r.body = wire.Encode(b)
+					r.body = protocol.Encode(b)
 				}
 				answer(r)
 			})
@@ -123,16 +123,16 @@
 	})
 }
 
-func (l *Live) serve(ln net.Listener, handle func(method, path string, body []byte, answer func(reply))) string {
-	s := &fasthttp.Server{NoDefaultServerHeader: true, IdleTimeout: 2 * slowest, Handler: func(c *fasthttp.RequestCtx) {
-		ch := make(chan reply, 1)
-		handle(string(c.Method()), string(c.Request.RequestURI()), append([]byte(nil), c.PostBody()...), func(r reply) {
+func (l *LiveNetwork) serve(ln net.Listener, handle func(method, path string, body []byte, answer func(response))) string {
+	s := &fasthttp.Server{NoDefaultServerHeader: true, IdleTimeout: 2 * maxResponseTime, Handler: func(c *fasthttp.RequestCtx) {
+		ch := make(chan response, 1)
+		handle(string(c.Method()), string(c.Request.RequestURI()), append([]byte(nil), c.PostBody()...), func(r response) {
 			select {
 			case ch <- r:
 			default:
 			}
 		})
-		t := time.NewTimer(slowest)
+		t := time.NewTimer(maxResponseTime)
 		defer t.Stop()
 		select {
 		case r := <-ch:
@@ -153,7 +153,7 @@
 	return addr
 }
 
-func (l *Live) unlisten(addr string) {
+func (l *LiveNetwork) unlisten(addr string) {
 	l.mu.Lock()
 	s := l.servers[addr]
 	delete(l.servers, addr)
@@ -163,16 +163,16 @@
 	}
 }
 
-// call makes one request; done runs on the owner's goroutine, with status 0
+// request makes one request; done runs on the owner's goroutine, with status 0
 // when there was no answer.
-func (l *Live) call(addr, method, path string, body []byte, timeout time.Duration, done func(status int, b []byte)) {
+func (l *LiveNetwork) request(addr, method, path string, body []byte, timeout time.Duration, done func(status int, b []byte)) {
 	go func() {
 		status, b := l.exchange(addr, method, path, body, timeout)
 		l.post(func() { done(status, b) })
 	}()
 }
 
-func (l *Live) exchange(addr, method, path string, body []byte, timeout time.Duration) (int, []byte) {
+func (l *LiveNetwork) exchange(addr, method, path string, body []byte, timeout time.Duration) (int, []byte) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -188,21 +188,21 @@
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...)
 }
 
-// Cluster puts the surroundings of a cluster there: platform settings of each
+// AddCluster puts the surroundings of a cluster there: platform settings of each
 // controller, with real addresses, and machines that are up. The controllers
 // themselves are processes of their own.
-func (l *Live) Cluster(name string, p []settings.Platform, machines int, left int) *Sim {
+func (l *LiveNetwork) AddCluster(name string, p []settings.Platform, machines int, left int) *Cluster {
 	n := l.net
-	var s *Sim
+	var s *Cluster
 	l.Do(func() {
-		s = n.sim(name)
+		s = n.newCluster(name)
 		for i := range p {
-			s.all = append(s.all, p[i].Name)
-			s.Nodes[p[i].Name] = &Host{s: s, name: p[i].Name, set: &settings.Settings{Platform: p[i], Operators: settings.Defaults()}}
+			s.controllerNames = append(s.controllerNames, p[i].Name)
+			s.Controllers[p[i].Name] = &ControllerProcess{cluster: s, name: p[i].Name, settings: &settings.Settings{Platform: p[i], Operators: settings.Defaults()}}
 		}
-		s.S = s.Nodes[s.all[0]].set
-		s.State, s.Cloud = newState(s), newCloud(s)
-		zones := s.S.Deployment.Zones
+		s.Settings = s.Controllers[s.controllerNames[0]].settings
+		s.State, s.Cloud = newStateService(s), newCloud(s)
+		zones := s.Settings.Deployment.Zones
 		for i := range s.Cloud.Types {
 			s.Cloud.Types[i].Zones = zones
 		}
@@ -211,87 +211,87 @@
 			if i%4 == 3 {
 				typ = "big"
 			}
-			s.AddWorker(typ, zones[i%len(zones)], false)
+			s.AddMachine(typ, zones[i%len(zones)], false)
 		}
 		for _, t := range s.Cloud.Types {
 			for _, z := range zones {
-				s.Cloud.Left[fmt.Sprintf("%s/%s/false", t.Name, z)] = left
-				s.Cloud.Left[fmt.Sprintf("%s/%s/true", t.Name, z)] = left
+				s.Cloud.Capacity[fmt.Sprintf("%s/%s/false", t.Name, z)] = left
+				s.Cloud.Capacity[fmt.Sprintf("%s/%s/true", t.Name, z)] = left
 			}
 		}
 	})
 	return s
 }
 
-// Front is what users of a cluster speak to: it gives each request to a
+// LoadBalancer is what users of a cluster speak to: it gives each request to a
 // healthy controller, and keeps the descriptions of submitted jobs, which
 // workers fetch by themselves (users upload them).
-type Front struct {
-	l    *Live
-	s    *Sim
-	apis []string
-	mu   sync.Mutex
-	bad  map[string]int
-	next int
-	Addr string
+type LoadBalancer struct {
+	live         *LiveNetwork
+	cluster      *Cluster
+	addresses    []string
+	mu           sync.Mutex
+	failedProbes map[string]int
+	nextIndex    int
+	Address      string
 }
 
-// Front starts it.
-func (l *Live) Front(s *Sim) (*Front, error) {
-	f := &Front{l: l, s: s, bad: map[string]int{}}
-	for _, n := range s.all {
-		f.apis = append(f.apis, s.api(n))
+// StartLoadBalancer starts it.
+func (l *LiveNetwork) StartLoadBalancer(s *Cluster) (*LoadBalancer, error) {
+	f := &LoadBalancer{live: l, cluster: s, failedProbes: map[string]int{}}
+	for _, n := range s.controllerNames {
+		f.addresses = append(f.addresses, s.apiAddress(n))
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	f.Addr = l.serve(ln, func(method, path string, body []byte, answer func(reply)) { answer(f.pass(method, path, body)) })
+	f.Address = l.serve(ln, func(method, path string, body []byte, answer func(response)) { answer(f.forward(method, path, body)) })
 	go f.probe()
 	return f, nil
 }
 
 // probe asks each controller every second whether it can take requests.
-func (f *Front) probe() {
+func (b *LoadBalancer) probe() {
 	for {
-		for _, a := range f.apis {
-			status, _ := f.l.exchange(a, "GET", "/up", nil, time.Second)
-			f.mu.Lock()
+		for _, a := range b.addresses {
+			status, _ := b.live.exchange(a, "GET", "/up", nil, time.Second)
+			b.mu.Lock()
 			if status == 200 {
-				f.bad[a] = 0
+				b.failedProbes[a] = 0
 			} else {
-				f.bad[a]++
+				b.failedProbes[a]++
 			}
-			f.mu.Unlock()
+			b.mu.Unlock()
 		}
 		select {
-		case <-f.l.done:
+		case <-b.live.done:
 			return
 		case <-time.After(time.Second):
 		}
 	}
 }
 
-// Healthy counts the controllers that can take requests.
-func (f *Front) Healthy() (n int) {
+// HealthyControllers counts the controllers that can take requests.
+func (f *LoadBalancer) HealthyControllers() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, a := range f.apis {
-		if b, probed := f.bad[a]; probed && b == 0 {
+	for _, a := range f.addresses {
+		if b, probed := f.failedProbes[a]; probed && b == 0 {
 			n++
 		}
 	}
 	return n
 }
 
-func (f *Front) pass(method, path string, body []byte) reply {
+func (f *LoadBalancer) forward(method, path string, body []byte) response {
 	if method == "POST" && path == "/v2/runs" {
-		var sub wire.Submission
-		if wire.IsMap(body) && wire.Decode(body, &sub) == nil {
-			if job, bad := sub.Check(); bad == "" {
-				f.l.Do(func() {
-					if f.s.jobs[job.ID] == nil {
-						f.s.jobs[job.ID] = job
+		var sub protocol.Submission
+		if protocol.IsMap(body) && protocol.Decode(body, &sub) == nil {
+			if job, bad := sub.Validate(); bad == "" {
+				f.live.Do(func() {
+					if f.cluster.jobs[job.ID] == nil {
+						f.cluster.jobs[job.ID] = job
 					}
 				})
 			}
@@ -299,22 +299,22 @@
 	}
 	for try := 0; try < 3; try++ {
 		f.mu.Lock()
-		f.next++
-		api := f.apis[f.next%len(f.apis)]
-		for k := 0; k < len(f.apis) && f.bad[api] > 1; k++ {
-			f.next++
-			api = f.apis[f.next%len(f.apis)]
+		f.nextIndex++
+		api := f.addresses[f.nextIndex%len(f.addresses)]
+		for k := 0; k < len(f.addresses) && f.failedProbes[api] > 1; k++ {
+			f.nextIndex++
+			api = f.addresses[f.nextIndex%len(f.addresses)]
 		}
 		f.mu.Unlock()
-		if status, b := f.l.exchange(api, method, path, body, 5*time.Second); status != 0 {
-			return reply{status, b}
+		if status, b := f.live.exchange(api, method, path, body, 5*time.Second); status != 0 {
+			return response{status, b}
 		}
 		f.mu.Lock()
-		f.bad[api]++
+		f.failedProbes[api]++
 		f.mu.Unlock()
 	}
-	return reply{503, wire.Encode(&wire.Problem{Error: "no controller answers"})}
+	return response{503, protocol.Encode(&protocol.ErrorResponse{Error: "no controller answers"})}
 }
 
-// Ended lists the rules that were seen broken; to be called after Run's end.
-func (l *Live) Ended() []string { return l.net.Broken }
+// Violations lists the rules that were seen broken; to be called after Run's end.
+func (l *LiveNetwork) Violations() []string { return l.net.Violations }
--- a/internal/standin/lost_answers_test.go
+++ b/internal/simulator/lost_answers_test.go
@@ -1,10 +1,10 @@
-package standin
+package simulator
 
 import (
 	"math/rand/v2"
 	"testing"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // Each kind of transaction is carried out at once and only its answer is lost, while
@@ -12,27 +12,27 @@
 // key takes the place of the value by which its sender could tell that it was carried
 // out. Parts change hands, machines come and go, jobs are accepted, moved, cancelled and
 // done meanwhile, and users ask everywhere.
-func TestAnswersLostWhileOthersRead(t *testing.T) {
+func TestWriteAnswersLostWhileOthersRead(t *testing.T) {
 	t.Parallel()
 	met := map[string]int{}
 	for k, kind := range writes {
 		for seed := uint64(2100); seed < 2103; seed++ {
-			s := judged(seed+10*uint64(k), 60)
-			w := fleet(s, 6, 0)
-			s.Cloud.Left["small/a/false"] = 3
-			lost := s.lateWrites(7, 45, 0.7, 0.001, 0.003, kind.is)
-			s.askEverywhere(rand.New(rand.NewPCG(seed, 5)), 0.2)
-			s.uneven()
-			s.Submit(10, Spec("wk-g", wire.Gang, 5, 4, 6, nil)) // larger than a part
-			s.cutFor(9, 30, [][2]string{{"n0", "n2"}})          // signs of life
-			s.refuseFor(11, 17, theLargest)
+			s := newMonitoredCluster(seed+10*uint64(k), 60)
+			w := addMachines(s, 6, 0)
+			s.Cloud.Capacity["small/a/false"] = 3
+			lost := s.delayWritesFor(7, 45, 0.7, 0.001, 0.003, kind.is)
+			s.pollEveryController(rand.New(rand.NewPCG(seed, 5)), 0.2)
+			s.makePartsUneven()
+			s.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
+			s.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}})                       // signs of life
+			s.refuseControllersFor(11, 17, largestOwnerOnly)
 			s.At(14, func() { w[5].Die() })
-			s.quick(22, 0.5, s.owner)
-			s.quick(28, 4, s.leader)
+			s.restartQuickly(22, 0.5, s.nonLeaderOwner)
+			s.restartQuickly(28, 4, s.leaderProcess)
 			s.Start()
 			s.Run(260)
 			met[kind.name] += *lost
-			for _, wrong := range s.verdict(false) {
+			for _, wrong := range s.checkDay(false) {
 				t.Errorf("%s, seed %d: %s", kind.name, seed, wrong)
 			}
 		}
--- a/internal/standin/overflow_bench_test.go
+++ b/internal/simulator/overflow_bench_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"curlewspool/internal/wire"
+	"curlewspool/internal/protocol"
 )
 
 // BenchmarkOverflow plays ten minutes in which west's load is a share of its
@@ -15,7 +15,7 @@
 // tells what share of west's and east's jobs were done within 45 s, and what the
 // state services were asked a second (stand-in days, three seeds).
 //
-//	go test ./internal/standin -run XXX -bench Overflow -benchtime 1x
+//	go test ./internal/simulator -run XXX -bench Overflow -benchtime 1x
 func BenchmarkOverflow(b *testing.B) {
 	slog.SetDefault(slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for _, load := range []float64{0.5, 0.8, 1.1, 1.5, 2.0} {
@@ -30,13 +30,13 @@
 						for i, s := range day {
 							x, n := inTime(s, 45)
 							in[i], all[i] = in[i]+x, all[i]+n
-							asked[i] += float64(s.State.requests.Used) / 600 / 3
-							changed[i] += float64(s.State.changes.Used) / 600 / 3
-							if len(s.Broken) > 0 {
-								b.Fatal(s.Broken[0])
+							asked[i] += float64(s.State.requestLimit.Used) / 600 / 3
+							changed[i] += float64(s.State.writeLimit.Used) / 600 / 3
+							if len(s.Violations) > 0 {
+								b.Fatal(s.Violations[0])
 							}
 						}
-						lent += strings.Count(day[0].Text(), "starts wk-at.west.")
+						lent += strings.Count(day[0].TraceText(), "starts wk-at.west.")
 					}
 					for i, name := range []string{"west", "east"} {
 						b.ReportMetric(float64(in[i])/float64(max(1, all[i])), name+"_in_time")
@@ -50,22 +50,22 @@
 	}
 }
 
-func overflowDay(seed uint64, load float64, on bool) [2]*Sim {
-	w, e := Federated(seed, 3)
+func overflowDay(seed uint64, load float64, on bool) [2]*Cluster {
+	w, e := NewFederation(seed, 3)
 	if !on {
-		for _, s := range []*Sim{w, e} {
-			for _, n := range s.all {
-				s.Nodes[n].set.Federation = nil
+		for _, s := range []*Cluster{w, e} {
+			for _, n := range s.controllerNames {
+				s.Controllers[n].settings.Federation = nil
 			}
 		}
 	}
-	fleet(w, 4, 0)
-	fleet(e, 8, 0)
-	arrive := func(s *Sim, cores, load float64) {
+	addMachines(w, 4, 0)
+	addMachines(e, 8, 0)
+	arrive := func(s *Cluster, cores, load float64) {
 		// Arrays of 12 tasks of a core for 10 s.
 		for at, i := 8.0, 0; at < 540; i++ {
-			s.Submit(at, Spec(fmt.Sprintf("wk-%s-%d", s.Name, i), wire.Array, 12, 1, 10, func(x *wire.Submission) { due := 45.0; x.Due = &due }))
-			at += w.rnd.ExpFloat64() * 120 / (cores * load)
+			s.Submit(at, NewSubmission(fmt.Sprintf("wk-%s-%d", s.Name, i), protocol.ShapeArray, 12, 1, 10, func(x *protocol.Submission) { due := 45.0; x.Deadline = &due }))
+			at += w.random.ExpFloat64() * 120 / (cores * load)
 		}
 	}
 	arrive(w, 16, load)
@@ -73,15 +73,15 @@
 	w.Start()
 	e.Start()
 	w.Run(600)
-	return [2]*Sim{w, e}
+	return [2]*Cluster{w, e}
 }
 
 // inTime counts a cluster's jobs that were submitted in time to be judged, and
 // of them those whose users were told within the limit (and 3 s) that they are
 // done.
-func inTime(s *Sim, limit float64) (in, all int) {
+func inTime(s *Cluster, limit float64) (in, all int) {
 	began := map[string]float64{}
-	for _, line := range strings.Split(s.Text(), "\n") {
+	for _, line := range strings.Split(s.TraceText(), "\n") {
 		f := strings.Fields(line)
 		var at float64
 		if len(f) < 3 || !strings.HasPrefix(f[1], "wk-"+s.Name+"-") {
@@ -92,7 +92,7 @@
 		case f[2] == "accepted" && at < 600-limit-3:
 			began[f[1]] = at
 			all++
-		case len(f) == 4 && f[3] == wire.Done && began[f[1]] > 0 && at-began[f[1]] <= limit+3:
+		case len(f) == 4 && f[3] == protocol.JobDone && began[f[1]] > 0 && at-began[f[1]] <= limit+3:
 			in++
 		}
 	}
--- /dev/null
+++ b/internal/simulator/pipeline_test.go
@@ -0,0 +1,222 @@
+package simulator
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// submitPipeline submits four stages as users do, each as soon as those that it needs are
+// accepted: a first one, two that need it, a gang that needs both, and a last one.
+func (c *Cluster) submitPipeline(at float64, name string) (ids []string) {
+	first, left, right, join, last := name+"-first", name+"-left", name+"-right", name+"-join", name+"-last"
+	due := 120.0
+	c.Submit(at, NewSubmission(first, protocol.ShapeArray, 4, 1, 5, nil))
+	c.submitOnceAccepted(at+0.2, NewSubmission(left, protocol.ShapeArray, 6, 1, 4, DependsOn(first)))
+	c.submitOnceAccepted(at+0.3, NewSubmission(right, protocol.ShapeArray, 3, 1, 8, DependsOn(first)))
+	c.submitOnceAccepted(at+0.5, NewSubmission(join, protocol.ShapeGang, 2, 2, 5, DependsOn(left, right)))
+	c.submitOnceAccepted(at+0.7, NewSubmission(last, protocol.ShapeArray, 2, 1, 3, func(x *protocol.Submission) {
+		DependsOn(join)(x)
+		x.Priority, x.Deadline = stringPointer("high"), &due
+	}))
+	return []string{first, left, right, join, last}
+}
+
+// Jobs that need others, each day short enough to be read.
+func TestDependencyScenarios(t *testing.T) {
+	runScenarios(t, "pipeline-", 3100, 160, 60, nil, []scenario{
+		{"diamond", func(s *Cluster, w []*Machine) []string { return s.submitPipeline(8, "wk-p") }, nil},
+		// The last stage comes when the others are over; another when they are long over.
+		{"last-stage-late", func(s *Cluster, w []*Machine) []string {
+			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, nil))
+			s.Submit(25, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
+			s.Submit(80, NewSubmission("wk-6", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4", "wk-5", "wk-4")))
+			return []string{"wk-4", "wk-5", "wk-6"}
+		}, nil},
+		// The first stage is cancelled while it runs; a stage that needs one of those that go
+		// with it is submitted later, and goes at once.
+		{"cancelled-root", func(s *Cluster, w []*Machine) []string {
+			s.submitPipeline(8, "wk-p")
+			s.Cancel(10, "wk-p-first")
+			s.Submit(40, NewSubmission("wk-p-late", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last")))
+			return nil
+		}, func(t *testing.T, s *Cluster, w []*Machine) {
+			expectStatus(t, s, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last", "wk-p-late")
+		}},
+		// What is done stays done: an abort that is answered so lets the rest go on.
+		{"cancelled-too-late", func(s *Cluster, w []*Machine) []string {
+			ids := s.submitPipeline(8, "wk-p")
+			s.Cancel(24, "wk-p-first")
+			return ids
+		}, nil},
+		// The leader ends as the first stage does; all end as the second does.
+		{"leaders-end-at-the-release", func(s *Cluster, w []*Machine) []string {
+			ended := 0
+			s.OnJobCompleted = func(id string) {
+				switch ended++; id {
+				case "wk-p-first":
+					s.restartQuickly(s.now.Seconds()+0.01, 6, s.leaderProcess)
+				case "wk-p-left":
+					s.crashFor(s.now.Seconds()+0.01, s.now.Seconds()+2.5, s.controllerNames...)
+				}
+			}
+			return s.submitPipeline(8, "wk-p")
+		}, nil},
+		// The root is cancelled; a moment later the state service is down for longer than
+		// cancel_s, and one controller never hears of the cancellation.
+		{"cancelled-then-down", func(s *Cluster, w []*Machine) []string {
+			s.DropCancellationNotices = true
+			s.submitPipeline(8, "wk-p")
+			s.Cancel(11, "wk-p-first")
+			s.At(11.1, func() { s.State.StartOutage(45 * time.Second) })
+			return nil
+		}, func(t *testing.T, s *Cluster, w []*Machine) {
+			expectStatus(t, s, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last")
+		}},
+		// A needed job fails on every machine: those that need it wait until its user gives up.
+		{"needed-job-fails-everywhere", func(s *Cluster, w []*Machine) []string {
+			s.FailingJobs = map[string]bool{"wk-4": true}
+			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 4, nil))
+			s.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
+			s.Cancel(50, "wk-4")
+			return nil
+		}, func(t *testing.T, s *Cluster, w []*Machine) {
+			expectStatus(t, s, protocol.JobCancelled, "wk-4", "wk-5")
+		}},
+		// The zones are cut apart as the first stage ends: the second one's parts are in both.
+		{"zones-apart-at-the-release", func(s *Cluster, w []*Machine) []string {
+			s.At(18, func() { s.At(40, s.PartitionZone("b")) })
+			return s.submitPipeline(8, "wk-p")
+		}, nil},
+	})
+}
+
+// pipelineTroubles are what a pipeline is to go through, from a moment on.
+var pipelineTroubles = map[string]func(s *Cluster, at float64){
+	"none": func(*Cluster, float64) {},
+	"changes are told late": func(s *Cluster, at float64) {
+		s.DropCancellationNotices = true
+		s.delayResponsesFor("/changes", s.random, at-3, at+20, 2.5)
+	},
+	"written late": func(s *Cluster, at float64) { s.delayRequestsFor(at-2, at+15, 0.5, 2, 12, "/multi") },
+	"answers lost": func(s *Cluster, at float64) { s.delayRequestsFor(at-2, at+15, 0.7, 0.001, 0.003, "/multi") },
+	"leaders end": func(s *Cluster, at float64) {
+		s.restartQuickly(at, 0.3, s.leaderProcess)
+		s.restartQuickly(at+1.5, 5, s.leaderProcess)
+	},
+	// The leader is refused alone as well, and no controller hears of the cancellation from
+	// another. Users ask everywhere as the service comes back: cancel_s is over.
+	"down as the cancellation is confirmed": func(s *Cluster, at float64) {
+		s.DropCancellationNotices = true
+		s.refuseControllersFor(at-0.5, at+6, leaderOnly)
+		s.OnStatusReported = func(_, status string) {
+			if status != protocol.JobCancelled || s.State.Unavailable {
+				return
+			}
+			s.OnStatusReported = nil
+			s.State.StartOutage(40 * time.Second)
+			for k := range 60 {
+				s.after(39900*time.Millisecond+time.Duration(k)*20*time.Millisecond, func() { s.pollAllJobs(s.controllerNames[k%len(s.controllerNames)]) })
+			}
+		}
+	},
+}
+
+// Each stage of a pipeline is cancelled at moments from before it is submitted, across the
+// ends and releases of the others, until all is over; a job that needs its last stage comes
+// at the same moment. All that need a cancelled one are withdrawn with it, everything else
+// is done, and no task starts before what its job needs.
+func TestDependencyCancelledAtAnyMoment(t *testing.T) {
+	t.Parallel()
+	ends := map[string]int{}
+	seed := uint64(3200)
+	for _, trouble := range slices.Sorted(maps.Keys(pipelineTroubles)) {
+		for _, stage := range []string{"first", "left", "join", "last"} {
+			for at := 8.9; at < 42; at += 3.4 {
+				seed++
+				s := newMonitoredCluster(seed, 110)
+				addMachines(s, 6, 0)
+				ids := s.submitPipeline(8, "wk-p")
+				s.Cancel(at, "wk-p-"+stage)
+				s.submitOnceAccepted(at, NewSubmission("wk-p-more", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last", "wk-p-first")))
+				pipelineTroubles[trouble](s, at)
+				s.Start()
+				s.Run(200)
+				what := fmt.Sprintf("%s, %s is cancelled at %.1f (seed %d)", trouble, stage, at, seed)
+				for _, wrong := range s.checkDay(true) {
+					t.Errorf("%s: %s", what, wrong)
+				}
+				for _, id := range append(ids, "wk-p-more") {
+					if s.ReportedStatus(id) == "" { // its user gave up in the outage, or that of one that it needs
+						continue
+					}
+					if want := s.hasCancelledDependency(id, 0) || s.ReportedStatus("wk-p-"+stage) == protocol.JobCancelled && id == "wk-p-"+stage; want != (s.ReportedStatus(id) == protocol.JobCancelled) {
+						t.Errorf("%s: %s is %s", what, id, s.ReportedStatus(id))
+					}
+					ends[s.ReportedStatus(id)]++
+				}
+			}
+		}
+	}
+	if ends[protocol.JobDone] < 300 || ends[protocol.JobCancelled] < 300 {
+		t.Errorf("ends %v: too few to tell", ends)
+	}
+}
+
+// pollAllJobs asks a controller about all jobs that were accepted.
+func (c *Cluster) pollAllJobs(node string) {
+	for _, id := range slices.Sorted(maps.Keys(c.submissions)) {
+		if c.reportedStatus[id] != "" {
+			c.repeatRequest(node, "ask", c.submissions[id])
+		}
+	}
+}
+
+// submitRandomPipelines submits some pipelines of random form: each stage needs one to three of
+// those before it; some stages are cancelled, late, or need something that is long over.
+func (c *Cluster) submitRandomPipelines(r *rand.Rand) {
+	for p := range 2 + r.IntN(3) {
+		at := 5 + 25*r.Float64()
+		for i := range 3 + r.IntN(4) {
+			id := fmt.Sprintf("wk-p%d-%d", p, i)
+			var needs []string
+			for range min(i, 1+r.IntN(3)) {
+				needs = append(needs, fmt.Sprintf("wk-p%d-%d", p, r.IntN(i)))
+			}
+			shape, tasks, due := protocol.ShapeArray, 1+r.IntN(5), 60+60*r.Float64()
+			if r.IntN(4) == 0 {
+				shape, tasks = protocol.ShapeGang, 2
+			}
+			c.submitOnceAccepted(at+0.1*float64(i), NewSubmission(id, shape, tasks, 1, 2+6*r.Float64(), func(x *protocol.Submission) {
+				x.Dependencies, x.Deadline = needs, &due
+			}))
+			if r.IntN(10) == 0 {
+				c.Cancel(at+30*r.Float64(), id)
+			}
+			if r.IntN(6) == 0 {
+				at += 30 * r.Float64()
+			}
+		}
+	}
+}
+
+// submitOnceAccepted submits as users do: as soon as those that it needs are accepted.
+func (c *Cluster) submitOnceAccepted(at float64, sub *protocol.Submission) {
+	c.At(at, func() {
+		for _, need := range sub.Dependencies {
+			if c.reportedStatus[need] == "" {
+				c.submitOnceAccepted(c.now.Seconds()+0.1, sub)
+				return
+			}
+		}
+		c.trySubmit(sub, 0)
+	})
+}
+
+// Random days with pipelines among everything else.
+func TestRandomDependencies(t *testing.T) { randomDays(t, *firstDay+pipelineDays) }
--- /dev/null
+++ b/internal/simulator/stale_report_test.go
@@ -0,0 +1,108 @@
+package simulator
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"curlewspool/internal/election"
+	"curlewspool/internal/protocol"
+)
+
+// keepReports keeps a copy of each report that is sent from one time to another; or, of
+// the last two seconds, holds back a third of them themselves.
+func (c *Cluster) keepReports(from, to float64, holdBack bool) *[][]byte {
+	kept := new([][]byte)
+	c.DelayedRequests = append(c.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
+		if now := c.now.Seconds(); path == "/v1/report" && now >= from && now < to {
+			hold := holdBack && now > to-2 && c.random.IntN(3) == 0
+			if !holdBack || hold {
+				*kept = append(*kept, slices.Clone(body))
+			}
+			return time.Hour, hold
+		}
+		return 0, false
+	})
+	return kept
+}
+
+// onLeaderChange calls f each time that a new leader has begun, from a time on.
+func (c *Cluster) onLeaderChange(from float64, f func()) {
+	c.At(from, func() {
+		last := c.State.entries[election.LeaderKey].Revision
+		var look func()
+		look = func() {
+			if now := c.State.entries[election.LeaderKey].Revision; now != last && now != 0 {
+				last = now
+				f()
+			}
+			c.after(time.Millisecond, look)
+		}
+		look()
+	})
+}
+
+// Old reports reach the controllers just as a new leader begins, before it has heard of
+// any machine: to each controller in turn and to all at once, a moment after it begins
+// up to some seconds later. They list what has ended since, and do not list what has
+// begun since; some are of a session that is over. Nothing runs twice, nothing that is
+// done begins again, and no end that they show is told of a job that has moved on. On
+// half of the days they are no copies: the last reports before the leader's end are held
+// back and come then for the first time.
+func TestOldReportsDuringLeaderChange(t *testing.T) {
+	t.Parallel()
+	seed, sent := uint64(2600), 0
+	for _, whom := range []string{"n0", "n1", "n2", "all"} {
+		for _, after := range []float64{0.001, 0.02, 0.1, 0.5, 2, 6} {
+			for _, heldBack := range []bool{false, true} {
+				back := 0.3
+				if heldBack {
+					back = 9
+				}
+				seed++
+				s := newMonitoredCluster(seed, 60)
+				w := addMachines(s, 8, 0)
+				s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 4, nil))  // done by then
+				s.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 30, nil)) // runs all the while
+				s.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 2, 2, 5, nil))
+				s.Submit(12, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 7, nil)) // begins where the first ones ended
+				s.Submit(15, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 12, nil))
+				s.Submit(8, NewSubmission("wk-6", protocol.ShapeArray, 3, 1, 60, nil))
+				s.Cancel(15, "wk-6")
+				s.cutLinksFor(11.5, 28, s.machineLinks(w[0])) // its session ends meanwhile
+				kept := s.keepReports(5, 16, heldBack)
+				s.onLeaderChange(16, func() {
+					s.after(time.Duration(after*float64(time.Second)), func() {
+						for _, n := range s.runningControllers() {
+							if whom != "all" && whom != n {
+								continue
+							}
+							for _, body := range *kept {
+								sent++
+								s.after(s.latency(), func() { s.handlers[s.apiAddress(n)]("POST", "/v1/report", body, func(int, any) {}) })
+							}
+						}
+					})
+				})
+				s.restartQuickly(18, back, s.leaderProcess)
+				s.restartQuickly(26, 0.3, s.nonLeaderOwner)
+				s.restartQuickly(29, back, s.leaderProcess)
+				s.Start()
+				s.Run(230)
+				what := fmt.Sprintf("to %s, %v s after a leader begins, held back %v (seed %d)", whom, after, heldBack, seed)
+				for _, wrong := range s.checkDay(false) {
+					t.Errorf("%s: %s", what, wrong)
+				}
+				expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2", "wk-3", "wk-4", "wk-5")
+				expectStatus(t, s, protocol.JobCancelled, "wk-6")
+				if n := s.tasksStartedOnce("wk-1"); n != 12 {
+					t.Errorf("%s: %d of 12 tasks that were done started once only", what, n)
+				}
+			}
+		}
+	}
+	if sent < 500 {
+		t.Errorf("only %d old reports", sent)
+	}
+}
