--- /dev/null
+++ b/internal/simulator/user_consistency_test.go
@@ -0,0 +1,107 @@
+package simulator
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// pollEveryController has users ask at all controllers, again and again within milliseconds,
+// and repeat the submission, right after a job was accepted, done or confirmed as
+// cancelled; a share of the jobs is cancelled at once.
+func (c *Cluster) pollEveryController(r *rand.Rand, cancelled float64) {
+	c.OnStatusReported = func(id, status string) {
+		if status == protocol.TaskRunning {
+			return
+		}
+		cancel := status == protocol.JobPending && r.Float64() < cancelled
+		for i, n := range c.controllerNames {
+			for k := range 4 {
+				what := []string{"ask", "submit", "ask", "ask"}[(i+k)%4]
+				if cancel && k == 1 && i == int(c.now)%len(c.controllerNames) {
+					what = "cancel"
+				}
+				c.after(time.Duration(r.IntN(15*(k+1)))*time.Millisecond, func() { c.repeatRequest(n, what, c.submissions[id]) })
+			}
+		}
+	}
+}
+
+// Whatever a user was told first, no controller answers something older to a question
+// or a repeated submission that comes milliseconds later: not one whose news are late,
+// that has just begun, that the state service refuses, or whose transactions get no
+// answer though they are carried out.
+func TestConsistentAnswersFromAllControllers(t *testing.T) {
+	t.Parallel()
+	troubles := map[string]func(s *Cluster, r *rand.Rand){
+		"none":                  func(*Cluster, *rand.Rand) {},
+		"changes are told late": func(s *Cluster, r *rand.Rand) { s.delayResponsesFor("/changes", r, 6, 40, 2) },
+		"transactions slow":     func(s *Cluster, r *rand.Rand) { s.delayResponsesFor("/multi", r, 6, 40, 1.5) },
+		"answers lost":          func(s *Cluster, r *rand.Rand) { s.delayRequestsFor(6, 40, 0.4, 0.001, 0.002, "/multi") },
+		"written late":          func(s *Cluster, r *rand.Rand) { s.delayRequestsFor(6, 40, 0.2, 2, 12, "/multi") },
+		"leaders end": func(s *Cluster, r *rand.Rand) {
+			s.restartQuickly(10, 0.3, s.leaderProcess)
+			s.restartQuickly(16, 0.3, s.nonLeaderOwner)
+			s.restartQuickly(22, 4, s.leaderProcess)
+		},
+		"one controller refused": func(s *Cluster, r *rand.Rand) { s.refuseControllersFor(8, 24, leaderOnly) },
+		"one controller isolated": func(s *Cluster, r *rand.Rand) {
+			s.At(9, func() { s.after(15*time.Second, s.IsolateController(s.leaderProcess().name)) })
+		},
+		"one controller frozen": func(s *Cluster, r *rand.Rand) { s.At(9, func() { s.nonLeaderOwner().Pause(9*time.Second, true) }) },
+		"cancellations not passed": func(s *Cluster, r *rand.Rand) {
+			s.DropCancellationNotices = true
+			s.delayResponsesFor("/changes", r, 6, 40, 2)
+		},
+	}
+	looks, ends := 0, map[string]int{}
+	for _, name := range slices.Sorted(maps.Keys(troubles)) {
+		for seed := uint64(2000); seed < 2003; seed++ {
+			s := newMonitoredCluster(seed, 60)
+			r := rand.New(rand.NewPCG(seed, 3))
+			addMachines(s, 6, 0)
+			for i := range 16 {
+				shape, tasks := protocol.ShapeArray, 1+i%5
+				if i%5 == 4 {
+					shape, tasks = protocol.ShapeGang, 2
+				}
+				s.Submit(6+1.5*float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), shape, tasks, 1, 1+6*r.Float64(), nil))
+			}
+			s.pollEveryController(r, 0.3)
+			s.OnRequest = func(from, _, path string) {
+				if from == "user" && strings.HasPrefix(path, "/v2/runs") {
+					looks++
+				}
+			}
+			troubles[name](s, r)
+			s.Start()
+			s.Run(150)
+			for _, wrong := range s.checkDay(false) {
+				t.Errorf("%s, seed %d: %s", name, seed, wrong)
+			}
+			for id := range s.jobs {
+				ends[s.ReportedStatus(id)]++
+			}
+		}
+	}
+	if ends[protocol.JobDone] < 200 || ends[protocol.JobCancelled] < 60 || looks < 10000 {
+		t.Errorf("%v after %d questions, too few to tell", ends, looks)
+	}
+}
+
+// refuseControllersFor has the state service refuse some controllers alone from one time to
+// another, in seconds.
+func (c *Cluster) refuseControllersFor(from, to float64, who func(s *Cluster) []string) {
+	c.At(from, func() {
+		for _, n := range who(c) {
+			c.SetRefusal(n, "state", true)
+			c.At(to, func() { c.SetRefusal(n, "state", false) })
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulator/users.go
@@ -0,0 +1,342 @@
+package simulator
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"curlewspool/internal/agent"
+	"curlewspool/internal/protocol"
+)
+
+// NewSubmission makes a submission with the usual fields; edit changes it.
+func NewSubmission(id, shape string, tasks int, cores, estimate float64, edit func(s *protocol.Submission)) *protocol.Submission {
+	p := func(s string) *string { return &s }
+	f := func(v float64) *float64 { return &v }
+	n, no := uint64(tasks), false
+	yes := true
+	s := &protocol.Submission{ID: p(id), Class: p("class"), Team: p("red"), Shape: p(shape), Priority: p("standard"), Tasks: &n, Cores: f(cores),
+		GPUs: f(0), MemoryGB: f(1), Image: p("img"), ImageGB: f(0.5), SingleZone: &no, SpreadZones: &no, AllowSpot: &yes, Estimate: f(estimate), CheckpointInterval: f(0), CheckpointDuration: f(0)}
+	if edit != nil {
+		edit(s)
+	}
+	return s
+}
+
+// ServeAPI connects the controllers' outer interface to the network.
+func (c *Cluster) ServeAPI() {
+	for _, name := range c.controllerNames {
+		h := c.Controllers[name]
+		serve := func(method, path string, body []byte, reply func(int, any)) {
+			user := func(status int, b any, _ int) { reply(status, b) }
+			switch {
+			case path == "/v1/report":
+				r := &protocol.Report{}
+				if protocol.Decode(body, r) != nil {
+					reply(400, nil)
+					return
+				}
+				h.Controller.HandleHeartbeat(r, reply)
+			case method == "POST" && path == "/v2/runs":
+				h.Controller.Submit(body, 0, user)
+			case method == "POST":
+				h.Controller.Cancel(strings.TrimSuffix(strings.TrimPrefix(path, "/v2/runs/"), "/abort"), user)
+			default:
+				h.Controller.Poll(strings.TrimPrefix(path, "/v2/runs/"), user)
+			}
+		}
+		c.handlers[c.address("api-"+name)] = func(method, path string, body []byte, reply func(int, any)) {
+			if h.SocketsExhausted && h.running { // no free socket: the connection fails at once
+				reply(0, nil)
+				return
+			}
+			h.execute(h.incarnation, func() { serve(method, path, body, reply) })
+		}
+	}
+}
+
+// apiAddress is where a controller serves users and workers.
+func (c *Cluster) apiAddress(name string) string { return c.Controllers[name].settings.API }
+
+func (c *Cluster) randomController() string {
+	n := c.runningControllers()
+	if len(n) == 0 {
+		return c.apiAddress("n0")
+	}
+	return c.apiAddress(n[c.random.IntN(len(n))])
+}
+
+// Submit submits at a time given in seconds, repeats until it is accepted,
+// and then polls until the job is over.
+func (c *Cluster) Submit(at float64, sub *protocol.Submission) {
+	c.At(at, func() { c.trySubmit(sub, 0) })
+}
+
+func (c *Cluster) trySubmit(sub *protocol.Submission, tries int) {
+	id := *sub.ID
+	c.histories.recordSubmission(id, c.now)
+	if j, bad := sub.Validate(); bad == "" && c.jobs[id] == nil {
+		c.jobs[id], c.submissions[id] = j, sub
+		c.histories.job(id).maxConcurrent = maxConcurrentTasks(j, c.Settings.Team(j.Team))
+	}
+	c.request(c.address("user"), c.randomController(), "POST", "/v2/runs", sub, nil, 5*time.Second, func(status int) {
+		switch status {
+		case 200, 201:
+			c.Trace("%s accepted", id)
+			c.histories.recordAnswer(id, c.now)
+			if c.reportedStatus[id] == "" { // else a cancellation's answer came first
+				c.reportedStatus[id] = protocol.JobPending
+				c.notifyStatus(id, protocol.JobPending)
+			}
+			c.pollStatus(id)
+		case 400, 422:
+			c.Trace("%s refused with %d", id, status)
+		default:
+			if c.State.Unavailable {
+				c.failedSubmissions[id]++
+			}
+			if tries == 30 { // gives up: nobody has told them of anything
+				return
+			}
+			c.after(time.Second, func() { c.trySubmit(sub, tries+1) })
+		}
+	})
+}
+
+// TraceRequest makes one request and traces its status.
+func (c *Cluster) TraceRequest(at float64, method, path string, body any) {
+	c.At(at, func() {
+		c.request(c.address("user"), c.randomController(), method, path, body, nil, 5*time.Second, func(status int) {
+			c.Trace("%s %s -> %d", method, path, status)
+		})
+	})
+}
+
+func (c *Cluster) pollStatus(id string) {
+	out, asked := &protocol.JobState{}, c.now
+	c.request(c.address("user"), c.randomController(), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
+		switch {
+		case status == 200 && c.endReportedAt[id] > asked && out.Status != c.reportedStatus[id]:
+			// Answered before the other, for all that anyone can tell: they crossed.
+		case status == 404:
+			c.reportViolation("forgotten: %s gets 404", id)
+		case status == 200:
+			c.histories.recordAnswer(id, c.now)
+			c.recordStatus(id, out.Status)
+		}
+		if was := c.reportedStatus[id]; was != protocol.JobDone && was != protocol.JobCancelled {
+			c.after(2*time.Second, func() { c.pollStatus(id) })
+		} else {
+			c.after(20*time.Second, func() { c.pollStatus(id) }) // it must stay so
+		}
+	})
+}
+
+func (c *Cluster) recordStatus(id, status string) {
+	was := c.reportedStatus[id]
+	if cancel := time.Duration(c.Settings.Deployment.Workers.Cancel * float64(time.Second)); (status == protocol.JobPending || status == protocol.TaskRunning) && c.hasCancelledDependency(id, cancel) {
+		c.reportViolation("orphaned: %s is called %s", id, status)
+	}
+	if (was == protocol.JobDone || was == protocol.JobCancelled) && status != was {
+		c.reportViolation("went_back: %s was %s, is %s", id, was, status)
+	}
+	if status == was {
+		return
+	}
+	if status == protocol.JobDone {
+		for i := 0; i < c.jobs[id].Tasks; i++ {
+			if !c.completedTasks[agent.TaskID{Job: id, Index: i}] {
+				c.reportViolation("not_done: %s/%d", id, i)
+			}
+		}
+	}
+	if status == protocol.JobCancelled && c.cancelledAt[id] == 0 && !c.hasCancelledDependency(id, 0) {
+		c.reportViolation("went_back: %s was not cancelled", id)
+	}
+	c.reportedStatus[id] = status
+	if status == protocol.JobDone || status == protocol.JobCancelled {
+		c.endReportedAt[id] = c.now
+	}
+	if status != protocol.JobPending {
+		c.Trace("%s is %s", id, status)
+	}
+	c.notifyStatus(id, status)
+}
+
+func (c *Cluster) notifyStatus(id, status string) {
+	if c.OnStatusReported != nil {
+		c.OnStatusReported(id, status)
+	}
+}
+
+// Cancel cancels at a time given in seconds.
+func (c *Cluster) Cancel(at float64, id string) { c.At(at, func() { c.requestCancellation(id) }) }
+
+func (c *Cluster) requestCancellation(id string) {
+	if c.cancelledAt[id] == 0 {
+		c.cancelledAt[id] = 1 // asked for
+	}
+	out := &protocol.JobState{}
+	c.request(c.address("user"), c.randomController(), "POST", "/v2/runs/"+id+"/abort", nil, out, 5*time.Second, func(status int) {
+		if status != 200 {
+			c.after(time.Second, func() { c.requestCancellation(id) })
+			return
+		}
+		if out.Status == protocol.JobCancelled && c.cancelledAt[id] <= 1 {
+			c.recordCancellation(id)
+		}
+		c.recordStatus(id, out.Status)
+	})
+}
+
+// recordCancellation: its user was told so now.
+func (c *Cluster) recordCancellation(id string) {
+	c.cancelledAt[id] = c.now
+	var look func()
+	look = func() {
+		if len(c.MachinesRunning(id)) > 0 {
+			c.histories.job(id).presentAfterCancellation = c.now - c.cancelledAt[id]
+			c.after(200*time.Millisecond, look)
+		}
+	}
+	look()
+	c.after(time.Duration(c.Settings.Deployment.Workers.Cancel*float64(time.Second)), func() {
+		c.forEachAttempt(func(w *Machine, t *attempt) {
+			if _, o := w.cluster.origin(t.TaskID); o.Job == id && t.present {
+				c.reportViolation("ran_cancelled: %s is still on %s", t, w.id)
+			}
+		})
+	})
+}
+
+// recordStart checks the rules at the moment a task comes to be on a machine.
+func (c *Cluster) recordStart(w *Machine, t *attempt, job *protocol.Job) {
+	c.Trace("  %s starts %s", w.id, t)
+	zones := map[string]int{}
+	cores, gpus := 0.0, 0.0
+	home, whose := c.origin(t.TaskID)
+	c.forEachAttempt(func(o *Machine, x *attempt) {
+		j := o.cluster.jobByID(x.Job)
+		if !x.present || j == nil {
+			return
+		}
+		if _, theirs := o.cluster.origin(x.TaskID); x != t && theirs == whose {
+			c.reportViolation("ran_twice: %s on %s and %s", t, o.id, w.id)
+		}
+		if x.Job == t.Job {
+			zones[o.zone]++
+		}
+		if j.Team == job.Team {
+			cores += j.Cores
+			gpus += j.GPUs
+		}
+	})
+	c.histories.recordStart(whose, c.now)
+	home.checkDependencies(t, whose.Job)
+	team := c.Settings.Team(job.Team)
+	if team.CoresMax > 0 && cores > team.CoresMax+1e-9 || team.GPUsMax > 0 && gpus > team.GPUsMax+1e-9 {
+		c.reportViolation("quota: %s uses %v cores", job.Team, cores)
+	}
+	if job.SingleZone && len(zones) > 1 || job.SpreadZones && zones[w.zone] > (job.Tasks+1)/2 || w.spot && !job.AllowSpot || job.Zone != "" && job.Zone != w.zone {
+		c.reportViolation("wrong_place: %s on %s", t, w.id)
+	}
+	if at := home.cancelledAt[whose.Job]; at > 1 {
+		home.histories.job(whose.Job).startsAfterCancellation++
+		if c.now > at+time.Duration(c.Settings.Deployment.Workers.Cancel*float64(time.Second)) {
+			c.reportViolation("ran_cancelled: %s starts", t)
+		}
+	}
+}
+
+func (c *Cluster) recordCompletion(t agent.TaskID, w *Machine) {
+	home, whose := c.origin(t)
+	if home.completedTasks == nil {
+		home.completedTasks = map[agent.TaskID]bool{}
+	}
+	home.completedTasks[whose] = true
+	c.histories.recordCompletion(whose)
+	if c.OnJobCompleted != nil && len(c.histories.job(whose.Job).completedTasks) == home.jobs[whose.Job].Tasks {
+		c.OnJobCompleted(whose.Job)
+	}
+	c.Trace("  %s done", t)
+}
+
+// startGang starts the tasks of an attempt when all wait.
+func (c *Cluster) startGang(job *protocol.Job, try uint64) {
+	type at struct {
+		w *Machine
+		t *attempt
+	}
+	var all []at
+	for _, id := range c.machineIDs() {
+		for _, t := range c.Machines[id].attempts {
+			if t.Job == job.ID && t.number == try && t.state == protocol.TaskWaitingForGang {
+				all = append(all, at{c.Machines[id], t})
+			}
+		}
+	}
+	if len(all) < job.Tasks {
+		return
+	}
+	c.Trace("  gang %s runs with %s tasks", job.ID, strconv.Itoa(len(all)))
+	takes := ActualRuntime(job, 0)
+	for _, a := range all {
+		a.t.timerGeneration++ // no longer waits
+		a.t.state, a.t.since = protocol.TaskRunning, c.now
+		if home, whose := c.origin(a.t.TaskID); home.completedTasks[whose] {
+			takes, a.t.resultExisted = 0, true // its result is there from before
+		}
+		a.w.reportSoon()
+	}
+	c.monitorGang(job, try, takes)
+}
+
+// monitorGang ends a gang together: done, or gone with a lost mate.
+func (c *Cluster) monitorGang(job *protocol.Job, try uint64, takes time.Duration) {
+	started := c.now
+	var check func()
+	check = func() {
+		n := 0
+		var left []func(cause string)
+		for _, id := range c.machineIDs() {
+			w := c.Machines[id]
+			for _, t := range w.attempts {
+				if t.Job == job.ID && t.number == try && t.present {
+					n++
+					left = append(left, func(cause string) { w.endAttempt(t, cause) })
+				}
+			}
+		}
+		switch {
+		case n == 0:
+		case n < job.Tasks:
+			for _, f := range left {
+				f(protocol.CauseGangMemberLost)
+			}
+		case c.now-started >= takes:
+			for _, f := range left {
+				f(protocol.JobDone)
+			}
+		default:
+			c.after(500*time.Millisecond, check)
+		}
+	}
+	c.after(500*time.Millisecond, check)
+}
+
+// MachinesRunning lists the machines that run a task of a job now.
+func (c *Cluster) MachinesRunning(job string) []string {
+	var out []string
+	for _, id := range c.machineIDs() {
+		for _, t := range c.Machines[id].attempts {
+			if t.Job == job && t.present {
+				out = append(out, id)
+				break
+			}
+		}
+	}
+	return out
+}
+
+// ReportedStatus is what a job's user was told last.
+func (c *Cluster) ReportedStatus(id string) string { return c.reportedStatus[id] }
--- a/internal/spans/spans.go
+++ b/internal/tracing/tracing.go
@@ -2,7 +2,7 @@
 // clusters tell them, into traces: one trace a loan, whoever asks and whenever,
 // since its id comes from the loan's name. The controllers only keep the steps;
 // the libraries for traces are linked into the operators' tool alone.
-package spans
+package tracing
 
 import (
 	"context"
@@ -20,26 +20,28 @@
 	"curlewspool/internal/federation"
 )
 
-// ids gives the ids of the span that is about to be started.
-type ids struct {
-	trace trace.TraceID
-	next  uint64
+// idGenerator gives the ids of the span that is about to be started.
+type idGenerator struct {
+	traceID  trace.TraceID
+	lastSpan uint64
 }
 
-func (g *ids) NewIDs(context.Context) (trace.TraceID, trace.SpanID) { return g.trace, g.span() }
+func (g *idGenerator) NewIDs(context.Context) (trace.TraceID, trace.SpanID) {
+	return g.traceID, g.nextSpanID()
+}
 
-func (g *ids) NewSpanID(context.Context, trace.TraceID) trace.SpanID { return g.span() }
+func (g *idGenerator) NewSpanID(context.Context, trace.TraceID) trace.SpanID { return g.nextSpanID() }
 
-func (g *ids) span() (s trace.SpanID) {
-	g.next++
-	h := sha256.Sum256(binary.BigEndian.AppendUint64(g.trace[:], g.next))
+func (g *idGenerator) nextSpanID() (s trace.SpanID) {
+	g.lastSpan++
+	h := sha256.Sum256(binary.BigEndian.AppendUint64(g.traceID[:], g.lastSpan))
 	copy(s[:], h[:])
 	return s
 }
 
-// Group sorts events into loans, each in the order of time. The times of day of
+// GroupByLoan sorts events into loans, each in the order of time. The times of day of
 // several machines may differ by the platform's skew.
-func Group(events []federation.Event) (names []string, by map[string][]federation.Event) {
+func GroupByLoan(events []federation.Event) (names []string, by map[string][]federation.Event) {
 	by = map[string][]federation.Event{}
 	for _, e := range events {
 		if len(by[e.Loan]) == 0 {
@@ -57,12 +59,12 @@
 // Export writes a trace for each loan: a span for the whole, and in it one for
 // each step, from the step before. It returns how many loans there were.
 func Export(ctx context.Context, events []federation.Event, to sdk.SpanExporter) (int, error) {
-	names, by := Group(events)
+	names, by := GroupByLoan(events)
 	for _, name := range names {
 		list := by[name]
 		h := sha256.Sum256([]byte(name))
-		g := &ids{}
-		copy(g.trace[:], h[:])
+		g := &idGenerator{}
+		copy(g.traceID[:], h[:])
 		p := sdk.NewTracerProvider(sdk.WithSyncer(to), sdk.WithIDGenerator(g), sdk.WithSampler(sdk.AlwaysSample()),
 			sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "curlewspool"))))
 		t := p.Tracer("curlewspool/federation")
@@ -70,10 +72,10 @@
 		in, whole := t.Start(ctx, "loan", trace.WithTimestamp(at(list[0])), trace.WithAttributes(attribute.String("loan", name)))
 		before := at(list[0])
 		for _, e := range list {
-			_, s := t.Start(in, e.What, trace.WithTimestamp(before), trace.WithAttributes(attribute.String("cluster", e.Cluster),
-				attribute.String("controller", e.Host), attribute.String("why", e.Why)))
-			if e.What == "refused" || e.Why == "its term ran out" {
-				s.SetStatus(codes.Error, e.Why)
+			_, s := t.Start(in, e.Step, trace.WithTimestamp(before), trace.WithAttributes(attribute.String("cluster", e.Cluster),
+				attribute.String("controller", e.Host), attribute.String("why", e.Reason)))
+			if e.Step == "refused" || e.Reason == "its term ran out" {
+				s.SetStatus(codes.Error, e.Reason)
 			}
 			before = at(e)
 			s.End(trace.WithTimestamp(before))
--- a/internal/intake/times_test.go
+++ b/internal/userapi/latency_test.go
@@ -1,4 +1,4 @@
-package intake
+package userapi
 
 import (
 	"testing"
