--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -342,8 +342,8 @@
 	c.publishLiveness(now)
 	c.releaseUnreachableShards() // first: who is deaf says so at once, and is not given the part back
 	status := &peermsg.Status{Version: peermsg.Version, Ready: c.isReady(), ReachabilityReports: c.reachability.countByShard(c), Unreachable: c.reachability.isUnreachable}
-	if good, _ := c.store.Health(); good > 0 {
-		status.StoreAgeMs = max(1, uint32((now - good).Milliseconds()))
+	if answeredAt := c.store.Health().LastAnsweredAt; answeredAt > 0 {
+		status.StoreAgeMs = max(1, uint32((now - answeredAt).Milliseconds()))
 	}
 	c.eachShard(func(p *shard.Shard) {
 		if c.ownedShard(p.ID) == nil {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -83,7 +83,8 @@
 // workers and users may be.
 func (c *Controller) isIsolated() bool {
 	now, limit := c.env.Now(), 4*c.statusInterval()
-	if _, bad := c.store.Health(); bad == 0 || now-bad < limit || len(c.peers) == 0 {
+	failingSince := c.store.Health().FailingSince
+	if failingSince == 0 || now-failingSince < limit || len(c.peers) == 0 {
 		return false
 	}
 	for _, p := range c.peers {
--- a/internal/controller/users.go
+++ b/internal/controller/users.go
@@ -55,8 +55,7 @@
 		if c.isIsolated() {
 			return false
 		}
-		_, bad := c.store.Health()
-		since = bad + c.statusInterval()/4 // more than clocks and messages are off
+		since = c.store.Health().FailingSince + c.statusInterval()/4 // more than clocks and messages are off
 	}
 	for _, p := range c.peers {
 		if p.storeAnsweredAt > since {
--- a/internal/federation/desk.go
+++ b/internal/federation/desk.go
@@ -379,9 +379,9 @@
 // updateJobRecord changes a live job's record, as the leader. edit gets a copy, of which
 // it may replace fields but not change what they hold; false: nothing is to be
 // written.
-func (d *Broker) updateJobRecord(urgency int, id string, edit func(r *shard.JobRecord) bool, done func(ok bool)) {
+func (d *Broker) updateJobRecord(priority kvstore.Priority, id string, edit func(r *shard.JobRecord) bool, done func(ok bool)) {
 	l, key := d.host.Store(), shard.JobKey(id)
-	l.Write(urgency, &kvstore.WriteRequest{
+	l.Write(priority, &kvstore.WriteRequest{
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
 			rec := d.host.Job(id)
 			if rec == nil || !d.host.IsLeader() {
--- a/internal/federation/host.go
+++ b/internal/federation/host.go
@@ -1,6 +1,7 @@
 package federation
 
 import (
+	"errors"
 	"log/slog"
 	"maps"
 	"slices"
@@ -213,13 +214,13 @@
 		}
 		fetches++
 		left++
-		d.host.Store().Fetch(shard.FinalKey(id), func(status int, value []byte, _ uint64) {
+		d.host.Store().Fetch(shard.FinalKey(id), func(entry kvstore.Entry, err error) {
 			var f shard.FinalRecord
 			switch {
-			case status == 200 && protocol.Decode(value, &f) == nil:
+			case err == nil && protocol.Decode(entry.Value, &f) == nil:
 				d.finished.Add(id, f)
 				*s = finishedLeaseState(f)
-			case status == 404:
+			case errors.Is(err, kvstore.ErrNotFound):
 				// Our cache may be older than its acceptance by the leader
 				// before: home would give up a loan that runs.
 				left++
--- /dev/null
+++ b/internal/kvstore/batch_test.go
@@ -0,0 +1,53 @@
+package kvstore
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+
+	"curlewspool/internal/protocol"
+)
+
+// A request that is withdrawn may queue another as it is told so, while a batch is being
+// built: found on a reading, the queue was then written back without it.
+func TestWriteQueuedDuringBatchBuild(t *testing.T) {
+	service, store := newTestStore(applyAt(1))
+	isStored := false
+	store.Write(PriorityNormal, &WriteRequest{
+		Build: func(string) ([]protocol.Condition, []protocol.Mutation) { return nil, nil },
+		Done: func(bool, uint64) {
+			store.Write(PriorityNormal, putRequest("d/2", func(applied bool) { isStored = applied }))
+		},
+	})
+	service.runTimers()
+	if !isStored {
+		t.Error("the second write was lost")
+	}
+}
+
+// Of a batch that fails, only the requests whose conditions failed go alone.
+func TestConflictRetriesFailedWritesAlone(t *testing.T) {
+	hasFailingKey := func(condition protocol.Condition) bool { return condition.Key == "d/3" }
+	service, store := newTestStore(func(transaction *protocol.Transaction) (int, protocol.TransactionResult) {
+		if slices.ContainsFunc(transaction.Conditions, hasFailingKey) {
+			return http.StatusConflict, protocol.TransactionResult{FailedKeys: []string{"d/3"}}
+		}
+		return http.StatusOK, protocol.TransactionResult{StoreRevision: 1}
+	})
+	stored := 0
+	for _, key := range []string{"d/1", "d/2", "d/3", "d/4", "d/5"} {
+		store.Write(PriorityLow, putRequest(key, func(applied bool) {
+			if applied {
+				stored++
+			}
+		}))
+	}
+	service.runTimers()
+	var sizes []int
+	for _, transaction := range service.sent {
+		sizes = append(sizes, len(transaction.Mutations))
+	}
+	if stored != 4 || !slices.Equal(sizes, []int{5, 1, 4}) {
+		t.Errorf("%d of 4 were stored, in transactions of %v mutations, want 5, 1 and 4", stored, sizes)
+	}
+}
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -1,105 +1,137 @@
 package kvstore
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
+	"net/http"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
-// Lease is the lease that this controller's keys hang on, and with it how long this
-// controller may act as their owner: for the grant's life from the older of two
-// moments, the last renewal and the one as of which the cache is proven current. A
-// renewal says nothing of what was decided meanwhile. (Refused alone for less than
-// the grant's life, then out with everybody: a renewal between the two let an owner
-// answer workers for two lives on news from before a cancellation. And an owner whose
-// key had been taken by force went on for longer than the taker waits.)
+// Lease is the lease that this controller's keys are attached to, and with it how long
+// this controller may act as their owner: for the lease's life from the older of two
+// moments, the last renewal and the one as of which the cache is known to be current. A
+// renewal says nothing of what was decided meanwhile. (A controller that was refused
+// alone for less than the lease's life, and then cut off with everybody, renewed its
+// lease between the two: it answered workers for two lives on news from before a
+// cancellation. And an owner whose key had been taken by force went on for longer than
+// the taker waits.)
 type Lease struct {
+	// ID is the lease's number at the service; 0: none is held.
+	ID uint64
+	// ConfirmedByPeersAt is the latest moment as of which all peers confirmed that
+	// nothing was cancelled or taken that this controller does not know of; 0: they did
+	// not. It stands for both moments: a renewal and a current cache.
+	ConfirmedByPeersAt time.Duration
+	// OnAcquired and OnLost, if given, are called when a lease is granted and when it has
+	// expired at the service.
+	OnAcquired func()
+	OnLost     func()
+
 	store            *Store
-	ID               uint64
 	ttl              time.Duration
 	renewInterval    time.Duration
-	maxClockDrift    float64
-	renewedAt        time.Duration // the last renewal, by our clock
+	maxClockDrift    float64       // of two clocks against true time, as a fraction
+	renewedAt        time.Duration // when the last successful renewal was sent
 	isRequestPending bool
-	// ConfirmedByPeersAt is the latest moment as of which all members vouched that nothing was
-	// cancelled or taken that this controller does not know of; 0: they did not. It
-	// stands for both moments: see node/vouch.go.
-	ConfirmedByPeersAt time.Duration
-	OnAcquired         func()
-	OnLost             func()
 }
 
-// KeepAlive obtains a grant and renews it every so often.
+// KeepAlive obtains a lease of the given life and renews it at an interval.
 func (l *Lease) KeepAlive(ttl, renewInterval time.Duration, maxClockDrift float64) {
 	l.ttl, l.renewInterval, l.maxClockDrift = ttl, renewInterval, maxClockDrift
 	l.acquireOrRenew()
 }
 
-// IsValid tells whether this controller may act on its strength now. The service
-// counts a renewal from when it executed it, which is later than it was sent; the
+// IsValid reports whether this controller may act on the lease's strength now. The
+// service counts a renewal from when it executed it, which is later than it was sent; the
 // clocks may drift apart.
 func (l *Lease) IsValid() bool {
-	return l.ID != 0 && l.store.env.Now() < max(min(l.renewedAt, l.store.currentAsOf), l.ConfirmedByPeersAt)+time.Duration(float64(l.ttl)*(1-2*l.maxClockDrift))
+	if l.ID == 0 {
+		return false
+	}
+	entitledAsOf := max(min(l.renewedAt, l.store.currentAsOf), l.ConfirmedByPeersAt)
+	safeLife := time.Duration(float64(l.ttl) * (1 - 2*l.maxClockDrift))
+	return l.store.env.Now() < entitledAsOf+safeLife
 }
 
+// acquireOrRenew sends the next request for the lease, unless one is under way.
 func (l *Lease) acquireOrRenew() {
 	if l.isRequestPending {
 		return
 	}
 	l.isRequestPending = true
-	sent := l.store.env.Now()
-	limit := min(requestTimeout, 2*l.renewInterval)
-	next := func(ok bool) {
-		l.isRequestPending = false
-		d := l.renewInterval
-		if !ok {
-			d = min(l.renewInterval, l.store.retryDelay())
-		}
-		l.store.env.After(max(0, sent+d-l.store.env.Now()), l.acquireOrRenew)
-	}
 	if l.ID == 0 {
-		out := &protocol.LeaseGrant{}
-		l.store.env.Call(l.store.address, "POST", "/grants", &protocol.LeaseRequest{TTLMillis: uint64(l.ttl.Milliseconds())}, out, limit,
-			func(status int) {
-				if (status == 200 || status == 201) && out.Lease != 0 {
-					l.ID = out.Lease
-					l.renewedAt = sent
-					slog.Info("state: grant", "permit", l.ID)
-					if l.OnAcquired != nil {
-						l.OnAcquired()
-					}
-				}
-				next(l.ID != 0)
-			})
-		return
+		l.acquire()
+	} else {
+		l.renew()
 	}
-	id := l.ID
-	l.store.env.Call(l.store.address, "POST", fmt.Sprintf("/grants/%d/touch", id), nil, nil, limit, func(status int) {
-		l.store.recordStatus(status)
+}
+
+// acquire asks for a new lease.
+func (l *Lease) acquire() {
+	sentAt := l.store.env.Now()
+	request := &protocol.LeaseRequest{TTLMillis: uint64(l.ttl.Milliseconds())}
+	grant := &protocol.LeaseGrant{}
+	l.post("/grants", request, grant, func(status int) {
+		if statusError(status, http.StatusCreated) == nil && grant.Lease != 0 {
+			l.ID = grant.Lease
+			l.renewedAt = sentAt
+			slog.Info("kvstore: lease acquired", "lease", l.ID)
+			if l.OnAcquired != nil {
+				l.OnAcquired()
+			}
+		}
+		l.scheduleNext(sentAt, l.ID != 0)
+	})
+}
+
+// renew extends the lease's life.
+func (l *Lease) renew() {
+	sentAt, id := l.store.env.Now(), l.ID
+	l.post(fmt.Sprintf("/grants/%d/touch", id), nil, nil, func(status int) {
+		err := statusError(status, http.StatusNoContent)
+		l.store.recordOutcome(err)
 		if l.ID == id {
-			switch status {
-			case 200, 204:
-				l.renewedAt = sent
-			case 404:
-				l.handleLost()
+			switch {
+			case err == nil:
+				l.renewedAt = sentAt
+			case errors.Is(err, ErrNotFound):
+				l.handleExpired()
 			}
 		}
-		next(status == 200 || status == 204)
+		l.scheduleNext(sentAt, err == nil)
 	})
 }
 
-func (l *Lease) handleLost() {
+// post sends a request for the lease. It is given up in time for the one after the next.
+func (l *Lease) post(path string, in, out any, done func(status int)) {
+	timeout := min(requestTimeout, 2*l.renewInterval)
+	l.store.env.Call(l.store.address, http.MethodPost, path, in, out, timeout, done)
+}
+
+// scheduleNext ends the request that was sent at sentAt and plans the next: after the
+// interval, or sooner if it failed.
+func (l *Lease) scheduleNext(sentAt time.Duration, succeeded bool) {
+	l.isRequestPending = false
+	delay := l.renewInterval
+	if !succeeded {
+		delay = min(delay, l.store.retryDelay())
+	}
+	l.store.env.After(max(0, sentAt+delay-l.store.env.Now()), l.acquireOrRenew)
+}
+
+// handleExpired gives the lease up, as the service does not know it any more, and asks
+// for a new one.
+func (l *Lease) handleExpired() {
 	if l.ID == 0 {
 		return
 	}
-	slog.Info("state: grant lost", "permit", l.ID)
+	slog.Info("kvstore: lease expired", "lease", l.ID)
 	l.ID, l.ConfirmedByPeersAt = 0, 0
 	if l.OnLost != nil {
 		l.OnLost()
 	}
-	if !l.isRequestPending {
-		l.acquireOrRenew()
-	}
+	l.acquireOrRenew()
 }
--- /dev/null
+++ b/internal/kvstore/sync.go
@@ -0,0 +1,84 @@
+package kvstore
+
+import (
+	"errors"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// Sync calls done(true) once an answer that was asked for after now has brought the cache
+// up to date, or done(false) if none came in time. Calls that wait share one request.
+func (s *Store) Sync(done func(isCurrent bool)) {
+	s.syncWaiters = append(s.syncWaiters, done)
+	s.startSync()
+}
+
+// Refresh asks for the newest changes without waiting for the watch.
+func (s *Store) Refresh() { s.Sync(func(bool) {}) }
+
+// startSync asks for changes on behalf of all waiters, unless a request is under way or
+// the last one was too short a time ago.
+func (s *Store) startSync() {
+	if s.isSyncing || s.isSyncScheduled || len(s.syncWaiters) == 0 {
+		return
+	}
+	if !s.isLoaded {
+		notifyAll(s.takeSyncWaiters(), false)
+		return
+	}
+	if wait := s.lastSyncAt + s.syncInterval() - s.env.Now(); wait > 0 {
+		s.scheduleSync(wait)
+		return
+	}
+	s.isSyncing = true
+	s.lastSyncAt = s.env.Now()
+	sentAt := s.lastSyncAt
+	waiters := s.takeSyncWaiters()
+	s.fetchChanges(0, readTimeout, func(changes *protocol.ChangeLog, err error) {
+		s.recordOutcome(err)
+		s.isSyncing = false
+		s.finishSync(waiters, sentAt, changes, err)
+		s.startSync()
+	})
+}
+
+// scheduleSync starts the next sync after a delay.
+func (s *Store) scheduleSync(delay time.Duration) {
+	s.isSyncScheduled = true
+	s.env.After(delay, func() {
+		s.isSyncScheduled = false
+		s.startSync()
+	})
+}
+
+// finishSync handles the answer to a sync that was sent at sentAt.
+func (s *Store) finishSync(waiters []func(bool), sentAt time.Duration, changes *protocol.ChangeLog, err error) {
+	switch {
+	case !s.isLoaded:
+		notifyAll(waiters, false)
+	case err == nil:
+		s.applyChanges(changes)
+		s.currentAsOf = max(s.currentAsOf, sentAt)
+		notifyAll(waiters, true)
+	default:
+		notifyAll(waiters, false)
+		if errors.Is(err, ErrCompacted) {
+			s.reload()
+		}
+	}
+}
+
+// takeSyncWaiters empties the list of waiters.
+func (s *Store) takeSyncWaiters() []func(bool) {
+	waiters := s.syncWaiters
+	s.syncWaiters = nil
+	return waiters
+}
+
+// notifyAll calls all waiters.
+func notifyAll(waiters []func(bool), isCurrent bool) {
+	for _, done := range waiters {
+		done(isCurrent)
+	}
+}
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"curlewspool/internal/agent"
+	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/remotelease"
 )
@@ -200,7 +201,7 @@
 	placements        map[agent.TaskID]*placement
 	localDone         int
 	progressDirty     bool                        // progress to be written
-	writeQueued       [3]bool                     // a write of each urgency is queued
+	writeQueued       [kvstore.PriorityCount]bool // a write of each priority is queued
 	writeInFlight     bool                        // one has been built and its fate is not known
 	recordedMachines  machineSet                  // machines that the ledger says it may be on
 	pendingMachines   *machineSet                 // the same in the write that is under way
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -71,18 +71,18 @@
 
 // queueProgressWrite writes what is done of a job and the machines it may be on. Runs that
 // the ledger does not cover wait for it.
-func (s *Shard) queueProgressWrite(job *QueuedJob, urgency int) {
-	if job.writeQueued[urgency] || job.writeInFlight {
+func (s *Shard) queueProgressWrite(job *QueuedJob, priority kvstore.Priority) {
+	if job.writeQueued[priority] || job.writeInFlight {
 		return
 	}
-	job.writeQueued[urgency] = true
+	job.writeQueued[priority] = true
 	id := job.Record.Job.ID
 	key := ProgressKey(id, s.ID)
 	store := s.controller.Store()
 	built := false
 	var ended []*agent.Attempt
 	var next *machineSet
-	store.Write(urgency, &kvstore.WriteRequest{
+	store.Write(priority, &kvstore.WriteRequest{
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
 			if s.Jobs[id] != job || job.writeInFlight && !built || !built && !job.progressDirty && !job.hasHeldAttempts {
 				return nil, nil
@@ -101,7 +101,7 @@
 			return []protocol.Condition{s.guard(), store.UnchangedCondition(key)}, []protocol.Mutation{{Put: key, Value: protocol.Encode(progress)}}
 		},
 		Done: func(ok bool, _ uint64) {
-			job.writeQueued[urgency] = false
+			job.writeQueued[priority] = false
 			if !built { // another one said it
 				return
 			}
--- a/internal/userapi/dependent.go
+++ b/internal/userapi/dependent.go
@@ -165,7 +165,7 @@
 		done(true)
 		return
 	}
-	in.readOutcome(id, func(status int, _ shard.FinalRecord) { done(status == 200) })
+	in.readOutcome(id, func(_ shard.FinalRecord, err error) { done(err == nil) })
 }
 
 // CancelWithDependency stores that a job which waits is withdrawn with one that it needs.
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -3,6 +3,7 @@
 package userapi
 
 import (
+	"errors"
 	"fmt"
 	"log/slog"
 	"time"
@@ -468,14 +469,14 @@
 				when = append(when, protocol.Condition{Key: shard.JobKey(k.job)}, protocol.Condition{Key: shard.FinalKey(k.job)})
 			}
 		}
-		in.host.Store().CheckConditions(when, func(status int) {
+		in.host.Store().CheckConditions(when, func(err error) {
 			in.isComparing = false
 			switch {
-			case status == 200: // neither live nor ended, all at one moment
+			case err == nil: // neither live nor ended, all at one moment
 				for _, k := range batch {
 					k.onUnknown()
 				}
-			case status == 409:
+			case errors.Is(err, kvstore.ErrConflict):
 				for _, k := range batch {
 					in.resolveAfterMismatch(k)
 				}
@@ -492,11 +493,11 @@
 // resolveAfterMismatch: at least one of a batch is known. The ended are read; the rest are
 // looked for in a proven cache, and compared again if they are not there.
 func (in *Service) resolveAfterMismatch(k *lookup) {
-	in.readOutcome(k.job, func(status int, f shard.FinalRecord) {
-		switch status {
-		case 200:
-			k.onFinished(f)
-		case 404:
+	in.readOutcome(k.job, func(final shard.FinalRecord, err error) {
+		switch {
+		case err == nil:
+			k.onFinished(final)
+		case errors.Is(err, kvstore.ErrNotFound):
 			in.host.Store().Sync(func(ok bool) {
 				switch {
 				case !ok || k.attempts > 3:
@@ -514,18 +515,18 @@
 	})
 }
 
-// readOutcome reads a job's end, and remembers it. status 200: it has ended so; 404: it has
-// not; any other: not known.
-func (in *Service) readOutcome(id string, done func(status int, f shard.FinalRecord)) {
-	in.host.Store().Fetch(shard.FinalKey(id), func(status int, value []byte, _ uint64) {
-		var f shard.FinalRecord
-		switch {
-		case status == 200 && protocol.Decode(value, &f) == nil:
-			in.RecordFinished(id, f)
-		case status == 200:
-			status = 0
+// readOutcome reads a job's end, and remembers it. err is kvstore.ErrNotFound if the job
+// has not ended, or any other if that is not known.
+func (in *Service) readOutcome(id string, done func(final shard.FinalRecord, err error)) {
+	in.host.Store().Fetch(shard.FinalKey(id), func(entry kvstore.Entry, err error) {
+		var final shard.FinalRecord
+		if err == nil {
+			err = protocol.Decode(entry.Value, &final)
+		}
+		if err == nil {
+			in.RecordFinished(id, final)
 		}
-		done(status, f)
+		done(final, err)
 	})
 }
 
