--- a/cmd/curlewctl/dev.go
+++ b/cmd/curlewctl/dev.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"cmp"
 	"context"
 	"errors"
@@ -26,82 +27,97 @@
 	"curlewspool/internal/simulator"
 )
 
+// devOptions are the flags of curlewctl dev.
+type devOptions struct {
+	plan      devcluster.Plan
+	kills     []string
+	stopAfter time.Duration // 0: at an interrupt
+	asJSON    bool
+	lendShare float64 // of its cores that each cluster lends to each other one
+	load      sampleLoad
+}
+
 func devCommand() *cobra.Command {
-	p := devcluster.Plan{}
-	var kills []string
-	var stop time.Duration
-	var asJSON bool
-	var lends float64
-	load := sampleLoad{}
+	options := &devOptions{}
 	c := &cobra.Command{
-		Use: "dev", Short: "Run whole clusters on this machine until Ctrl-C",
+		Use:   "dev",
+		Short: "Run whole clusters on this machine until Ctrl-C",
 		Long: "Starts stand-ins for the state service, the cloud and the machines, and real controllers,\n" +
 			"all on the loopback, and prints how to speak to them. Ctrl-C ends all of it, and nothing else.",
 		Example: "  curlewctl dev --sample 6          # start, run sample jobs, show them done, end\n" +
 			"  curlewctl dev --clusters 2 --kill east/@30s",
 		Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			for _, k := range kills {
-				kill, err := devcluster.ParseKill(k)
-				if err != nil {
-					return err
-				}
-				p.Kills = append(p.Kills, kill)
-			}
-			if p.Dir == "" {
-				dir, err := os.MkdirTemp("", "curlew-dev-")
-				if err != nil {
-					return err
-				}
-				p.Dir = dir
-			}
-			out := c.OutOrStdout()
-			words := out
-			if asJSON {
-				words = c.ErrOrStderr()
-			}
-			var mu sync.Mutex
-			if p.Clusters > 1 && lends > 0 {
-				if err := p.Partners(lends, 24*time.Hour); err != nil {
-					return err
-				}
-			}
-			p.Say = func(format string, a ...any) {
-				mu.Lock()
-				defer mu.Unlock()
-				fmt.Fprintf(words, format+"\n", a...)
-			}
-			ctx, done := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
-			defer done()
-			if stop > 0 {
-				var cancel func()
-				ctx, cancel = context.WithTimeout(ctx, stop)
-				defer cancel()
-			}
-			return runDev(ctx, p, load, asJSON, out)
-		},
+		RunE: func(c *cobra.Command, _ []string) error { return options.run(c) },
 	}
 	f := c.Flags()
-	f.IntVar(&p.Controllers, "controllers", 3, "controllers of each cluster")
-	f.IntVar(&p.Machines, "machines", 8, "machines of each cluster that are up at the start")
-	f.IntVar(&p.Rentable, "rentable", 4, "machines of each type, zone and kind that the cloud has more")
-	f.IntVar(&p.Zones, "zones", 2, "zones")
-	f.IntVar(&p.Clusters, "clusters", 1, "clusters")
-	f.Float64Var(&lends, "lends", 0.8, "with several clusters: the share of its cores that each lends to each other one (0: no partners)")
-	f.DurationVar(&stop, "for", 0, "end after this time (0: at Ctrl-C)")
-	f.StringVar(&p.Dir, "dir", "", "folder for settings and logs (default: a new one)")
-	f.StringArrayVar(&kills, "kill", nil, "[CLUSTER/][HOST]@TIME[+TIME]: a controller, or all of a cluster, to die then, and to be back later")
-	f.IntVar(&load.jobs, "sample", 0, "submit this many sample jobs to each cluster, show them done, and end")
-	f.StringVar(&p.Program, "program", "", "the controller's program (default: beside this one, else built from source)")
-	f.StringVar(&p.Old, "old", "", "a program of another version with which all controllers begin; those that --kill has back come with --program")
-	f.StringVar(&p.LogLevel, "log-level", "info", "the controllers' LOG_LEVEL: error, info or debug")
-	f.IntVar(&load.tasks, "sample-tasks", 8, "tasks of each sample array")
-	f.Float64Var(&load.seconds, "sample-seconds", 4, "expected run time of the samples' tasks")
-	f.StringVar(&load.only, "sample-to", "", "submit the samples to this cluster only")
-	f.BoolVar(&asJSON, "json", false, "print addresses, and the samples' result, as JSON")
+	f.IntVar(&options.plan.Controllers, "controllers", 3, "controllers of each cluster")
+	f.IntVar(&options.plan.Machines, "machines", 8, "machines of each cluster that are up at the start")
+	f.IntVar(&options.plan.Rentable, "rentable", 4, "machines of each type, zone and kind that the cloud has more")
+	f.IntVar(&options.plan.Zones, "zones", 2, "zones")
+	f.IntVar(&options.plan.Clusters, "clusters", 1, "clusters")
+	f.Float64Var(&options.lendShare, "lends", 0.8, "with several clusters: the share of its cores that each lends to each other one (0: no partners)")
+	f.DurationVar(&options.stopAfter, "for", 0, "end after this time (0: at Ctrl-C)")
+	f.StringVar(&options.plan.Dir, "dir", "", "folder for settings and logs (default: a new one)")
+	f.StringArrayVar(&options.kills, "kill", nil, "[CLUSTER/][HOST]@TIME[+TIME]: a controller, or all of a cluster, to die then, and to be back later")
+	f.IntVar(&options.load.jobs, "sample", 0, "submit this many sample jobs to each cluster, show them done, and end")
+	f.StringVar(&options.plan.Program, "program", "", "the controller's program (default: beside this one, else built from source)")
+	f.StringVar(&options.plan.Old, "old", "", "a program of another version with which all controllers begin; those that --kill has back come with --program")
+	f.StringVar(&options.plan.LogLevel, "log-level", "info", "the controllers' LOG_LEVEL: error, info or debug")
+	f.IntVar(&options.load.tasks, "sample-tasks", 8, "tasks of each sample array")
+	f.Float64Var(&options.load.seconds, "sample-seconds", 4, "expected run time of the samples' tasks")
+	f.StringVar(&options.load.only, "sample-to", "", "submit the samples to this cluster only")
+	f.BoolVar(&options.asJSON, "json", false, "print addresses, and the samples' result, as JSON")
 	return c
 }
 
+// run starts the clusters that the options describe and returns when they have ended.
+func (o *devOptions) run(c *cobra.Command) error {
+	for _, text := range o.kills {
+		kill, err := devcluster.ParseKill(text)
+		if err != nil {
+			return err
+		}
+		o.plan.Kills = append(o.plan.Kills, kill)
+	}
+	if o.plan.Dir == "" {
+		dir, err := os.MkdirTemp("", "curlew-dev-")
+		if err != nil {
+			return err
+		}
+		o.plan.Dir = dir
+	}
+	if o.plan.Clusters > 1 && o.lendShare > 0 {
+		if err := o.plan.Partners(o.lendShare, 24*time.Hour); err != nil {
+			return err
+		}
+	}
+	out := c.OutOrStdout()
+	messages := out
+	if o.asJSON {
+		messages = c.ErrOrStderr()
+	}
+	o.plan.Say = lineWriter(messages)
+	ctx, done := signal.NotifyContext(c.Context(), os.Interrupt, syscall.SIGTERM)
+	defer done()
+	if o.stopAfter > 0 {
+		var cancel func()
+		ctx, cancel = context.WithTimeout(ctx, o.stopAfter)
+		defer cancel()
+	}
+	return runDev(ctx, o.plan, o.load, o.asJSON, out)
+}
+
+// lineWriter writes whole lines, also when several goroutines call it. A message that
+// cannot be written is lost: what it tells of goes on.
+func lineWriter(out io.Writer) func(format string, a ...any) {
+	var mu sync.Mutex
+	return func(format string, a ...any) {
+		mu.Lock()
+		defer mu.Unlock()
+		_, _ = fmt.Fprintf(out, format+"\n", a...)
+	}
+}
+
 type clusterJSON struct {
 	Name        string   `json:"name"`
 	Users       string   `json:"users"`
@@ -247,7 +263,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // read only
 	r, err := historycheck.Check(f)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -265,7 +281,7 @@
 			if err != nil {
 				return err
 			}
-			if err := show(c.OutOrStdout(), asJSON, r, func(w io.Writer) {
+			if err := show(c.OutOrStdout(), asJSON, r, func(w *bytes.Buffer) {
 				fmt.Fprintf(w, "%d tasks of %d jobs, %d starts: %d finished once, %d started again with their result kept, %d still there, %d lost and not run again\n",
 					r.Tasks, len(r.Jobs), r.Starts, r.Finished, r.ResultsReused, r.Running, r.Lost)
 				for _, c := range slices.Sorted(maps.Keys(r.ByCluster)) {
--- a/cmd/curlewctl/jobs.go
+++ b/cmd/curlewctl/jobs.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -54,14 +55,15 @@
 	c.Again = func(why string, left time.Duration) {
 		if why != said || time.Since(first) > 5*time.Second {
 			said, first = why, time.Now()
-			fmt.Fprintf(errs, "%s; asking again for up to %v\n", why, left.Round(time.Second))
+			_, _ = fmt.Fprintf(errs, "%s; asking again for up to %v\n", why, left.Round(time.Second))
 		}
 	}
 	return c, nil
 }
 
 func (a *asker) print(out io.Writer, s *protocol.JobState) error {
-	return show(out, a.json, &stateJSON{s.ID, s.Status, s.Done, s.Running, s.Remote, s.PendingDependencies, s.CancelledBy}, func(w io.Writer) { fmt.Fprintln(w, client.Line(s)) })
+	state := &stateJSON{s.ID, s.Status, s.Done, s.Running, s.Remote, s.PendingDependencies, s.CancelledBy}
+	return show(out, a.json, state, func(w *bytes.Buffer) { fmt.Fprintln(w, client.Line(s)) })
 }
 
 func jobCommands() []*cobra.Command {
@@ -227,7 +229,7 @@
 	return each(a, "wait", "Wait until jobs are over; exit status 1 if one was cancelled", func(c *cobra.Command, cl *client.Client, id string) (*protocol.JobState, error) {
 		s, err := cl.Wait(c.Context(), id, func(s *protocol.JobState) {
 			if !client.Over(s) {
-				fmt.Fprintln(c.ErrOrStderr(), client.Line(s))
+				c.PrintErrln(client.Line(s))
 			}
 		})
 		if err == nil && s.Status == protocol.JobCancelled {
--- a/cmd/curlewctl/keys.go
+++ b/cmd/curlewctl/keys.go
@@ -1,8 +1,8 @@
 package main
 
 import (
+	"bytes"
 	"fmt"
-	"io"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -20,8 +20,8 @@
 			if err := pki.MakeCA(dir, name, life); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s/%s is for all partners, %s/%s for nobody else\n", dir, pki.CAFile, dir, pki.CAKeyFile)
-			return nil
+			_, err := fmt.Fprintf(c.OutOrStdout(), "%s/%s is for all partners, %s/%s for nobody else\n", dir, pki.CAFile, dir, pki.CAKeyFile)
+			return err
 		}}
 	makeCA.Flags().StringVar(&dir, "dir", "ca", "folder")
 	makeCA.Flags().StringVar(&name, "name", "curlewspool partners", "the authority's name")
@@ -34,8 +34,8 @@
 			if err := pki.MakeCert(dir, ca, cluster, life); err != nil {
 				return err
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%s/%s and %s/%s are for the controllers of %s\n", dir, pki.CertFile, dir, pki.KeyFile, cluster)
-			return nil
+			_, err := fmt.Fprintf(c.OutOrStdout(), "%s/%s and %s/%s are for the controllers of %s\n", dir, pki.CertFile, dir, pki.KeyFile, cluster)
+			return err
 		}}
 	makeCert.Flags().StringVar(&dir, "dir", "keys", "folder")
 	makeCert.Flags().StringVar(&ca, "ca", "ca", "folder of the authority")
@@ -57,7 +57,7 @@
 			for _, x := range list {
 				out = append(out, certJSON{x.Subject.CommonName, x.NotAfter, pki.Fingerprint(x)})
 			}
-			return show(c.OutOrStdout(), asJSON, out, func(w io.Writer) {
+			return show(c.OutOrStdout(), asJSON, out, func(w *bytes.Buffer) {
 				for _, x := range out {
 					fmt.Fprintf(w, "%s until %s, in %.0f days\n%s\n", x.Name, x.Until.Format(time.RFC3339), time.Until(x.Until).Hours()/24, x.Fingerprint)
 				}
--- a/cmd/curlewctl/look.go
+++ b/cmd/curlewctl/look.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"net/http"
 	"os"
@@ -43,7 +42,7 @@
 					if silent++; silent == len(addrs) {
 						return err
 					}
-					fmt.Fprintln(c.ErrOrStderr(), err)
+					c.PrintErrln(err)
 					continue
 				}
 				if s.Federation != nil {
@@ -61,7 +60,7 @@
 					if err != nil {
 						return err
 					}
-					defer f.Close()
+					defer func() { _ = f.Close() }() // the exporter reports failed writes
 					out = f
 				}
 				to, err = stdouttrace.New(stdouttrace.WithWriter(out))
@@ -73,7 +72,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.ErrOrStderr(), "%d hand-overs, %d steps\n", n, len(events))
+			c.PrintErrf("%d hand-overs, %d steps\n", n, len(events))
 			return to.Shutdown(c.Context())
 		},
 	}
@@ -193,7 +192,7 @@
 			if err != nil {
 				return err
 			}
-			fmt.Fprintf(c.ErrOrStderr(), "http://%s/metrics until Ctrl-C\n", ln.Addr())
+			c.PrintErrf("http://%s/metrics until Ctrl-C\n", ln.Addr())
 			mux := http.NewServeMux()
 			mux.Handle("/metrics", promhttp.HandlerFor(reg, promhttp.HandlerOpts{MaxRequestsInFlight: 2, Timeout: 10 * time.Second}))
 			srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
--- a/cmd/curlewctl/main.go
+++ b/cmd/curlewctl/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -40,11 +41,13 @@
 // misspelt one below would end with status 0.
 func help(c *cobra.Command, _ []string) error { return c.Help() }
 
-// show prints v as JSON, or by the words of people.
-func show(out io.Writer, asJSON bool, v any, words func(io.Writer)) error {
+// show prints v as JSON, or as the text that describe writes for people.
+func show(out io.Writer, asJSON bool, v any, describe func(text *bytes.Buffer)) error {
 	if !asJSON {
-		words(out)
-		return nil
+		var text bytes.Buffer
+		describe(&text)
+		_, err := text.WriteTo(out)
+		return err
 	}
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
--- a/cmd/curlewctl/nomad.go
+++ b/cmd/curlewctl/nomad.go
@@ -1,9 +1,9 @@
 package main
 
 import (
+	"bytes"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 
 	"github.com/spf13/cobra"
@@ -83,7 +83,7 @@
 			}{p}, nil)
 		} else {
 			for _, x := range p {
-				fmt.Fprintln(c.ErrOrStderr(), x)
+				c.PrintErrln(x)
 			}
 		}
 		return fmt.Errorf("refused for %d reasons", len(p))
@@ -96,7 +96,7 @@
 			}
 			return show(c.OutOrStdout(), asJSON, struct {
 				Jobs int `json:"jobs"`
-			}{len(p.Jobs)}, func(w io.Writer) { fmt.Fprintf(w, "%s: taken, %d native jobs\n", args[0], len(p.Jobs)) })
+			}{len(p.Jobs)}, func(w *bytes.Buffer) { fmt.Fprintf(w, "%s: taken, %d native jobs\n", args[0], len(p.Jobs)) })
 		}}), flags(&cobra.Command{Use: "plan FILE", Short: "Show the native jobs that a file is, and what is assumed", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			p, err := load(args[0])
@@ -107,7 +107,7 @@
 			for _, n := range p.Jobs {
 				out = append(out, nativeJSON{*n.Job.ID, n.Group, n.Words(), n.Assumed})
 			}
-			return show(c.OutOrStdout(), asJSON, out, func(w io.Writer) {
+			return show(c.OutOrStdout(), asJSON, out, func(w *bytes.Buffer) {
 				for _, n := range p.Jobs {
 					j := n.Job
 					fmt.Fprintf(w, "group %s: %s %s of %d tasks, each %.4g cores, %.4g GPUs, %.4g GB; class %s, team %s, rank %s\n", n.Group, *j.Shape, *j.ID,
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -67,11 +67,11 @@
 // 201, 400, 404 and 422 is asked again, after Retry-After if that is longer.
 func (c *Client) ask(ctx context.Context, method, path string, in any) (*protocol.JobState, error) {
 	end := time.Now().Add(c.Patience)
-	last := "no answer"
 	for {
 		wait := c.Pause + time.Duration(rand.Int64N(int64(c.Pause)/4+1))
 		status, body, retry := c.once(method, path, in)
 		var p protocol.ErrorResponse
+		var last string
 		switch status {
 		case 200, 201:
 			s := &protocol.JobState{}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -41,7 +41,7 @@
 	switch do {
 	case "cut":
 		c.HijackSetNoResponse(true)
-		c.Hijack(func(n net.Conn) { n.Close() })
+		c.Hijack(func(n net.Conn) { _ = n.Close() })
 	case "busy":
 		c.Response.Header.Set("Retry-After", "1")
 		c.SetStatusCode(503)
--- a/internal/devcluster/devcluster.go
+++ b/internal/devcluster/devcluster.go
@@ -1,4 +1,4 @@
-// Package dev runs whole clusters on the loopback: the stand-ins of
+// Package devcluster runs whole clusters on the loopback: the stand-ins of
 // internal/simulator by the real clock, and controllers as real processes. It
 // ends every process that it started, by id, and no other.
 package devcluster
@@ -179,7 +179,7 @@
 	if l, err := net.Listen("tcp4", net.JoinHostPort(host, "0")); err != nil {
 		host = "127.0.0.1"
 	} else {
-		l.Close()
+		_ = l.Close()
 	}
 	var out []string
 	for i := 0; i < n; i++ {
@@ -187,7 +187,7 @@
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
+		defer func() { _ = l.Close() }()
 		out = append(out, l.Addr().String())
 	}
 	return out, nil
@@ -285,7 +285,7 @@
 	cmd.Env = append(os.Environ(), "LOG_LEVEL="+d.plan.LogLevel)
 	own(cmd)
 	if err := cmd.Start(); err != nil {
-		log.Close()
+		_ = log.Close()
 		return fmt.Errorf("the controller's program does not start: %w", err)
 	}
 	gone := make(chan struct{})
@@ -294,7 +294,7 @@
 	p.mu.Unlock()
 	go func() {
 		_ = cmd.Wait()
-		log.Close()
+		_ = log.Close() // the process wrote to it, this one did not
 		close(gone)
 	}()
 	return nil
@@ -437,7 +437,9 @@
 	}
 	d.ended.Wait()
 	for _, f := range []io.Closer{d.sights, d.trace} {
-		f.Close()
+		if err := f.Close(); err != nil {
+			d.plan.Say("closing a log: %v", err)
+		}
 	}
 }
 
--- a/internal/devcluster/devcluster_test.go
+++ b/internal/devcluster/devcluster_test.go
@@ -83,7 +83,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer f.Close()
+			defer func() { _ = f.Close() }()
 			r, err := historycheck.Check(f)
 			if err != nil {
 				t.Fatal(err)
@@ -111,12 +111,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer others.Close()
+	defer func() { _ = others.Close() }()
 	out, err := net.Dial("tcp4", addrs[0])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }()
 	host, _, _ := net.SplitHostPort(addrs[0])
 	if from, _, _ := net.SplitHostPort(out.LocalAddr().String()); from == host {
 		t.Errorf("a connection comes from %s: it may take a port there", from)
@@ -125,14 +125,14 @@
 		_, port, _ := net.SplitHostPort(a)
 		taken, err := net.Listen("tcp4", "127.0.0.1:"+port)
 		if err == nil {
-			defer taken.Close()
+			defer func() { _ = taken.Close() }()
 		}
 		l, err := net.Listen("tcp4", a)
 		if err != nil {
 			t.Errorf("%v, with the port taken at 127.0.0.1", err)
 			continue
 		}
-		l.Close()
+		_ = l.Close()
 	}
 }
 
--- a/internal/historycheck/historycheck.go
+++ b/internal/historycheck/historycheck.go
@@ -1,4 +1,4 @@
-// Package audit judges what machines saw of tasks, in every cluster together:
+// Package historycheck judges what machines saw of tasks, in every cluster together:
 // no task in two places at once, none finished twice. It reads only the lines
 // that stand-in machines wrote (standin.Sight) and shares no code with what it
 // judges.
--- a/internal/pki/listener.go
+++ b/internal/pki/listener.go
@@ -76,7 +76,7 @@
 			case <-time.After(handshakeTimeout): // the server takes no more
 				refuse(held, "busy")
 			case <-l.done:
-				held.Close()
+				_ = held.Close()
 			}
 		}()
 	}
--- a/internal/pki/pki.go
+++ b/internal/pki/pki.go
@@ -1,4 +1,4 @@
-// Package keys makes and reads the certificates by which clusters know each
+// Package pki makes and reads the certificates by which clusters know each
 // other: mutual TLS 1.3, a certificate names its cluster. Files are read again
 // when they change, so renewed certificates are taken without a restart.
 package pki
@@ -28,8 +28,14 @@
 
 // Names of the files that Make writes.
 const (
-	CAFile, CAKeyFile = "ca.pem", "ca-key.pem"
-	CertFile, KeyFile = "cert.pem", "key.pem"
+	// CAFile is the authority's certificate, which all partners have.
+	CAFile = "ca.pem"
+	// CAKeyFile is the authority's private key.
+	CAKeyFile = "ca-key.pem"
+	// CertFile is a cluster's certificate.
+	CertFile = "cert.pem"
+	// KeyFile is a cluster's private key.
+	KeyFile = "key.pem"
 )
 
 // MakeCA writes a new authority into dir; an existing one is not replaced.
@@ -303,20 +309,29 @@
 }
 
 // ServerConfig is the configuration of the partners' listener.
-func (r *Store) ServerConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true, NextProtos: []string{"http/1.1"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.ownCertificate(), nil },
-		VerifyConnection: func(s tls.ConnectionState) error {
-			_, err := r.Identify(&s)
+func (s *Store) ServerConfig() *tls.Config {
+	return &tls.Config{
+		MinVersion:             tls.VersionTLS13,
+		ClientAuth:             tls.RequireAnyClientCert,
+		SessionTicketsDisabled: true,
+		NextProtos:             []string{"http/1.1"},
+		GetCertificate:         func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return s.ownCertificate(), nil },
+		VerifyConnection: func(state tls.ConnectionState) error {
+			_, err := s.Identify(&state)
 			return err
-		}}
+		},
+	}
 }
 
 // ClientConfig is the configuration for calls to a partner.
-func (r *Store) ClientConfig(partner string) *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: partner, SessionTicketsDisabled: true,
+func (s *Store) ClientConfig(partner string) *tls.Config {
+	return &tls.Config{
+		MinVersion:             tls.VersionTLS13,
+		ServerName:             partner,
+		SessionTicketsDisabled: true,
 		// Verified below, by files that may have changed since.
 		InsecureSkipVerify:   true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return r.ownCertificate(), nil },
-		VerifyConnection:     func(s tls.ConnectionState) error { return r.verify(partner, &s) }}
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return s.ownCertificate(), nil },
+		VerifyConnection:     func(state tls.ConnectionState) error { return s.verify(partner, &state) },
+	}
 }
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	k := Listen(ln, west.ServerConfig(), 16)
-	defer k.Close()
+	defer func() { _ = k.Close() }()
 	go func() {
 		for {
 			c, err := k.Accept()
@@ -58,8 +58,8 @@
 				return
 			}
 			who, err := west.Identify(ptr(c.(*tls.Conn).ConnectionState()))
-			fmt.Fprintf(c, "%s %v", who, err)
-			c.Close()
+			_, _ = fmt.Fprintf(c, "%s %v", who, err)
+			_ = c.Close()
 		}
 	}()
 	call := func(folder string) string {
@@ -71,7 +71,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 		_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 		b, err := io.ReadAll(c)
 		if len(b) == 0 && err != nil {
@@ -91,12 +91,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Fprint(c, "GET / HTTP/1.1\r\n\r\n")
+	_, _ = fmt.Fprint(c, "GET / HTTP/1.1\r\n\r\n")
 	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
 	if b, _ := io.ReadAll(c); strings.Contains(string(b), "HTTP/1.1 2") {
 		t.Errorf("plain text was answered %q", b)
 	}
-	c.Close()
+	_ = c.Close()
 }
 
 func ptr[T any](v T) *T { return &v }
@@ -169,15 +169,15 @@
 	}
 	const places = 8
 	k := Listen(ln, open("west", "east").ServerConfig(), places)
-	defer k.Close()
+	defer func() { _ = k.Close() }()
 	go func() {
 		for {
 			c, err := k.Accept()
 			if err != nil {
 				return
 			}
-			fmt.Fprint(c, "hello")
-			c.Close()
+			_, _ = fmt.Fprint(c, "hello")
+			_ = c.Close()
 		}
 	}()
 	for range 4 * places { // they say nothing, and stay
@@ -185,7 +185,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer func() { _ = c.Close() }()
 	}
 	east := open("east", "west")
 	end := time.Now().Add(4 * handshakeTimeout)
@@ -197,7 +197,7 @@
 		}
 		_ = c.SetDeadline(time.Now().Add(time.Second))
 		b, _ := io.ReadAll(c)
-		c.Close()
+		_ = c.Close()
 		if string(b) == "hello" {
 			return
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -189,7 +189,7 @@
 	if err := s.Platform.check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := s.Platform.LimitByNext(); err != nil {
+	if err := s.LimitByNext(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	optional := iniPath == ""
@@ -210,7 +210,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", iniPath, err)
 	}
-	if err := s.Operators.read(file); err != nil {
+	if err := s.read(file); err != nil {
 		return nil, fmt.Errorf("%s: %w", iniPath, err)
 	}
 	if err := s.federation(file, filepath.Dir(iniPath)); err != nil {
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -1,4 +1,4 @@
-// Package spans turns the steps of hand-overs, as controllers of several
+// Package tracing turns the steps of hand-overs, as controllers of several
 // clusters tell them, into traces: one trace a loan, whoever asks and whenever,
 // since its id comes from the loan's name. The controllers only keep the steps;
 // the libraries for traces are linked into the operators' tool alone.
