--- a/internal/peermsg/transport.go
+++ b/internal/peermsg/transport.go
@@ -1,15 +1,10 @@
-// Package mesh carries protobuf messages between controllers over TCP: one
-// outgoing connection to each member, frames of a length and an Envelope.
-// Losing a message is allowed: everything told here is either repeated at
-// the next heartbeat or asked again.
 package peermsg
 
-//go:generate protoc --go_out=. --go_opt=paths=source_relative peermsg.proto
-
 import (
 	"bufio"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"io"
 	"log/slog"
 	"net"
@@ -18,125 +13,177 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Version says which records and messages this program understands, beside those of
-// the programs before it:
-//
-//	0  all before there were versions
-//	1  jobs that need others; a group's machines may move from one key to another
-const Version = VersionDependencies
-
-// VersionDependencies is the first that understands what stands at 1.
-const VersionDependencies = 1
+const (
+	// maxFrameBytes bounds the memory that a member can make this controller use.
+	maxFrameBytes = 1 << 20
+	// queueLength is how many messages wait for one member; more are lost.
+	queueLength = 64
+	// idleTimeouts is how many timeouts a connection may be silent before it is closed.
+	idleTimeouts = 20
+)
 
-// maxFrameBytes bounds what a member may make us hold.
-const maxFrameBytes = 1 << 20
+// errFrameTooLarge is the error of a frame above maxFrameBytes.
+var errFrameTooLarge = errors.New("frame too large")
 
-// Transport sends and receives.
+// Transport sends messages to the other members and receives theirs.
 type Transport struct {
-	queues map[string]chan *Envelope
 	self   string
+	queues map[string]chan *Envelope // by member
 }
 
-// Listen starts the transport; every frame that arrives is given to deliver,
-// which must not block for long. timeout bounds a dial or write.
+// Listen starts a transport on the address addr. self is this controller's name, members
+// holds the addresses of the others by name. Each message that arrives is passed to
+// deliver, from several goroutines; deliver must not block for long. timeout bounds a dial
+// or a write. It returns an error if addr cannot be listened on.
 func Listen(addr, self string, members map[string]string, timeout time.Duration, deliver func(*Envelope)) (*Transport, error) {
-	l, err := net.Listen("tcp4", addr)
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	t := &Transport{queues: map[string]chan *Envelope{}, self: self}
-	for name, a := range members {
-		ch := make(chan *Envelope, 64)
-		t.queues[name] = ch
-		go t.sendLoop(a, ch, timeout)
+	t := &Transport{self: self, queues: map[string]chan *Envelope{}}
+	for name, memberAddr := range members {
+		queue := make(chan *Envelope, queueLength)
+		t.queues[name] = queue
+		s := &sender{addr: memberAddr, timeout: timeout}
+		go s.run(queue)
 	}
-	go func() {
-		for {
-			c, err := l.Accept()
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			if err != nil { // no free sockets: wait for some
-				time.Sleep(timeout / 10)
-				continue
-			}
-			go receiveLoop(c, 20*timeout, deliver)
-		}
-	}()
+	go acceptLoop(listener, timeout, deliver)
 	return t, nil
 }
 
-func receiveLoop(c net.Conn, idle time.Duration, deliver func(*Envelope)) {
-	defer c.Close()
-	r := bufio.NewReader(c)
-	var buf []byte
+// Send queues a message for a member. The message is lost if the queue is full or there is
+// no such member.
+func (t *Transport) Send(member string, envelope *Envelope) {
+	envelope.From = t.self
+	queue := t.queues[member]
+	if queue == nil {
+		return
+	}
+	select {
+	case queue <- envelope:
+	default:
+	}
+}
+
+func acceptLoop(listener net.Listener, timeout time.Duration, deliver func(*Envelope)) {
 	for {
-		// A member behind a cut is silent; its connection must not stay.
-		_ = c.SetReadDeadline(time.Now().Add(idle))
-		n, err := binary.ReadUvarint(r)
-		if err != nil || n > maxFrameBytes {
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if uint64(cap(buf)) < n {
-			buf = make([]byte, n)
+		if err != nil { // no free sockets: wait for some
+			time.Sleep(timeout / 10)
+			continue
 		}
-		buf = buf[:n]
-		if _, err := io.ReadFull(r, buf); err != nil {
+		go receiveLoop(conn, idleTimeouts*timeout, deliver)
+	}
+}
+
+// receiveLoop passes on the messages of one connection until it fails or is idle for too
+// long: a member behind a network partition is silent, and its connection must not stay.
+func receiveLoop(conn net.Conn, idleTimeout time.Duration, deliver func(*Envelope)) {
+	defer closeQuietly(conn)
+	reader := bufio.NewReader(conn)
+	var buffer []byte
+	for {
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout)) // fails on a closed connection, as reading does
+		frame, err := readFrame(reader, buffer)
+		if err != nil {
 			return
 		}
-		e := &Envelope{}
-		if err := proto.Unmarshal(buf, e); err != nil {
-			slog.Error("mesh: bad frame", "from", c.RemoteAddr(), "err", err)
+		buffer = frame
+		envelope := &Envelope{}
+		if err := proto.Unmarshal(frame, envelope); err != nil {
+			slog.Error("peermsg: bad frame", "from", conn.RemoteAddr(), "error", err)
 			return
 		}
-		deliver(e)
+		deliver(envelope)
 	}
 }
 
-// Send queues e for a member; with a full queue it is lost.
-func (t *Transport) Send(member string, e *Envelope) {
-	e.From = t.self
-	if ch := t.queues[member]; ch != nil {
-		select {
-		case ch <- e:
-		default:
-		}
+// readFrame reads the content of one frame, into buffer if that is large enough.
+func readFrame(reader *bufio.Reader, buffer []byte) ([]byte, error) {
+	length, err := binary.ReadUvarint(reader)
+	if err != nil {
+		return nil, err
 	}
+	if length > maxFrameBytes {
+		return nil, errFrameTooLarge
+	}
+	if uint64(cap(buffer)) < length {
+		buffer = make([]byte, length)
+	}
+	buffer = buffer[:length]
+	_, err = io.ReadFull(reader, buffer)
+	return buffer, err
+}
+
+// encodeFrame returns the frame of one message.
+func encodeFrame(envelope *Envelope) ([]byte, error) {
+	content, err := proto.Marshal(envelope)
+	if err != nil {
+		return nil, fmt.Errorf("encoding a message: %w", err)
+	}
+	return append(binary.AppendUvarint(nil, uint64(len(content))), content...), nil
+}
+
+// sender sends the messages of one queue to one member.
+type sender struct {
+	addr    string
+	timeout time.Duration
+	conn    net.Conn // nil: not connected
 }
 
-func (t *Transport) sendLoop(addr string, ch chan *Envelope, timeout time.Duration) {
-	var c net.Conn
-	for e := range ch {
-		b, err := proto.Marshal(e)
+// run sends messages until the queue is closed.
+func (s *sender) run(queue <-chan *Envelope) {
+	for envelope := range queue {
+		frame, err := encodeFrame(envelope)
 		if err != nil {
-			slog.Error("mesh: marshal", "err", err)
+			slog.Error("peermsg: message not sent", "to", s.addr, "error", err)
 			continue
 		}
-		b = append(binary.AppendUvarint(nil, uint64(len(b))), b...)
-		if c == nil {
-			c, err = net.DialTimeout("tcp4", addr, timeout)
-			if err != nil {
-				c = nil
-				discardQueued(ch) // what waited meanwhile is old news
-				continue
-			}
-			go func(c net.Conn) { // notice at once when the member ends
-				_, _ = io.Copy(io.Discard, c)
-				c.Close()
-			}(c)
-		}
-		_ = c.SetWriteDeadline(time.Now().Add(timeout))
-		if _, err := c.Write(b); err != nil {
-			c.Close()
-			c = nil
+		if err := s.connect(); err != nil {
+			discardQueued(queue) // outdated by the time the member is reachable
+			continue
 		}
+		s.write(frame)
 	}
 }
 
-func discardQueued(ch chan *Envelope) {
+// connect dials the member if there is no connection.
+func (s *sender) connect() error {
+	if s.conn != nil {
+		return nil
+	}
+	conn, err := net.DialTimeout("tcp4", s.addr, s.timeout)
+	if err != nil {
+		return err
+	}
+	s.conn = conn
+	go func() { // notice at once when the member ends
+		_, _ = io.Copy(io.Discard, conn)
+		closeQuietly(conn)
+	}()
+	return nil
+}
+
+// write sends a frame; if that fails, the frame is lost and the next one dials again.
+func (s *sender) write(frame []byte) {
+	_ = s.conn.SetWriteDeadline(time.Now().Add(s.timeout)) // fails on a closed connection, as writing does
+	if _, err := s.conn.Write(frame); err != nil {
+		closeQuietly(s.conn)
+		s.conn = nil
+	}
+}
+
+// closeQuietly closes a connection that is of no use any more.
+func closeQuietly(conn net.Conn) { _ = conn.Close() }
+
+// discardQueued empties a queue.
+func discardQueued(queue <-chan *Envelope) {
 	for {
 		select {
-		case <-ch:
+		case <-queue:
 		default:
 			return
 		}
