--- a/cmd/curlewctl/jobs.go
+++ b/cmd/curlewctl/jobs.go
@@ -20,10 +20,10 @@
 
 // stateJSON is a job's state as printed.
 type stateJSON struct {
-	ID      string `json:"id"`
-	Status  string `json:"status"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+	ID      string             `json:"id"`
+	Status  protocol.JobStatus `json:"status"`
+	Done    *int               `json:"done,omitempty"`
+	Running *int               `json:"running,omitempty"`
 	// Elsewhere is what is at partner clusters, and why.
 	Elsewhere []protocol.RemoteTasks `json:"elsewhere,omitempty"`
 	// Awaits is what it waits for, Cause the job with whose cancellation it was withdrawn.
@@ -70,15 +70,26 @@
 
 // words of users for what the outer protocol spells differently.
 var (
-	shapes = map[string]string{"array": protocol.ShapeArray, "gang": protocol.ShapeGang, "service": protocol.ShapeService}
-	ranks  = map[string]string{"prod": "prod", "high": "high", "normal": "standard", "low": "best_effort"}
+	shapes = map[string]protocol.JobShape{
+		"array":   protocol.ShapeArray,
+		"gang":    protocol.ShapeGang,
+		"service": protocol.ShapeService,
+	}
+	ranks = map[string]string{
+		"prod":   "prod",
+		"high":   "high",
+		"normal": "standard",
+		"low":    "best_effort",
+	}
 )
 
-func choice(flag, v string, of map[string]string) (string, error) {
-	if w, ok := of[v]; ok {
-		return w, nil
+// choice returns what a flag's value stands for.
+func choice[T any](flag, value string, choices map[string]T) (T, error) {
+	chosen, ok := choices[value]
+	if ok {
+		return chosen, nil
 	}
-	return "", fmt.Errorf("--%s %q: must be one of %s", flag, v, strings.Join(slices.Sorted(maps.Keys(of)), ", "))
+	return chosen, fmt.Errorf("--%s %q: must be one of %s", flag, value, strings.Join(slices.Sorted(maps.Keys(choices)), ", "))
 }
 
 func submitCommand() *cobra.Command {
@@ -125,8 +136,9 @@
 				}
 				sub.Dependencies = awaits
 			}
-			if _, bad := sub.Validate(); bad != "" {
-				return fmt.Errorf("the job is not valid: %s", bad)
+			var invalid *protocol.FieldError
+			if _, err := sub.Validate(); errors.As(err, &invalid) {
+				return fmt.Errorf("the job is not valid: %s", invalid.Field)
 			}
 			s, err := cl.Submit(c.Context(), sub)
 			if err == nil && wait {
--- a/internal/agent/reachability.go
+++ b/internal/agent/reachability.go
@@ -6,46 +6,48 @@
 	"curlewspool/internal/protocol"
 )
 
-// This file tells a machine that hears this controller from one that is deaf: its
-// reports arrive, but answers and orders do not reach it. Reports alone prove
-// nothing of that: a deaf machine goes from controller to controller with them,
-// and would be given work, and counted as renewed, at each of its rounds.
+// reachability is what is known of whether messages from this controller reach the agent.
+// It tells a machine that they reach from one behind an inbound partition, whose reports
+// arrive although nothing reaches it. Reports alone prove nothing of that: the agent takes
+// them from controller to controller, and on each round would be given work and counted as
+// renewed.
 //
-// Evidence that it hears is what can only follow from something that we sent: an
-// answer to our orders, a token of ours that comes back, a launch or a reap that
-// took effect, or a posted report that is the very next after one that was answered
-// (who gets no answer goes to the next controller instead, so that the next to come
-// here is a later one).
-
-// reachability is what is known of that.
+// What proves that messages arrive is only what can follow from one of them: an answer to
+// direct commands, a token of ours that comes back, a launch or an acknowledgement that took
+// effect, or a posted report that is the very next after an answered one (an agent without
+// an answer tries the next controller, so that the next report to come here is a later one).
 type reachability struct {
 	reachable          bool
-	suspectedSince     time.Duration // since when a report showed that our answer was not taken; 0: none did
-	precedingSequence  uint64        // number of the latest message that its next posted report is to follow; 0: not known
-	answeredSequence   uint64        // number of its newest report that was answered
-	highestToken       uint64        // the highest it showed
-	unansweredCommands int           // orders without an answer since the last evidence
-	probeNeeded        bool          // a report came that proves nothing: empty orders are to tell
+	suspectedSince     time.Duration // when a report first showed that our answer was not taken; 0: none did
+	precedingSequence  uint64        // the number that its next posted report must follow directly; 0: not known
+	answeredSequence   uint64        // number of the newest report that was answered
+	highestToken       uint64        // the highest fencing token that a report showed
+	unansweredCommands int           // direct commands without an answer, since the last proof
+	probeNeeded        bool          // a report proved nothing: an empty direct command is to find out
 }
 
-// IsReachable tells whether what is sent to the machine reaches it, as far as its latest
-// report tells. One that does not is given nothing new.
-func (m *Machine) IsReachable() bool { return m.reachability.reachable }
-
-// unansweredCommandLimit is how many orders must have remained without an answer, beside an
-// answer that was not taken, before a machine counts as deaf. Each waits for as
-// long as a call may take.
+// unansweredCommandLimit is how many direct commands must have no answer, besides an answer
+// that was not taken, before a machine counts as unreachable. Each waits for as long as a
+// call may take.
 const unansweredCommandLimit = 2
 
-// IsUnreachable tells whether it has shown that it hears nothing: neither an answer to its
-// report nor orders. Its reports are not answered any more, so that its lease ends
-// for certain although an answer may now and then get through; that it hears
-// again is told by empty orders, which renew nothing.
+// IsReachable reports whether messages reach the machine, as far as its latest report
+// shows. A machine that is not reachable is given nothing new.
+func (m *Machine) IsReachable() bool { return m.reachability.reachable }
+
+// IsUnreachable reports whether the machine has shown that nothing reaches it: neither the
+// answer to a report nor direct commands. Its reports are not answered any more, so that
+// its lease provably expires although an answer may now and then get through. Empty direct
+// commands, which renew nothing, find out when it is reachable again.
+//
+// Between IsReachable and IsUnreachable nothing is proven.
 func (m *Machine) IsUnreachable() bool {
-	return !m.reachability.reachable && m.reachability.suspectedSince > 0 && m.reachability.unansweredCommands >= unansweredCommandLimit
+	r := &m.reachability
+	return !r.reachable && r.suspectedSince > 0 && r.unansweredCommands >= unansweredCommandLimit
 }
 
-// UnreachableSince is when its reports first showed that; 0: they did not.
+// UnreachableSince returns when reports first showed that nothing reaches the machine; 0 if
+// it is not unreachable.
 func (m *Machine) UnreachableSince() time.Duration {
 	if !m.IsUnreachable() {
 		return 0
@@ -53,104 +55,77 @@
 	return m.reachability.suspectedSince
 }
 
-// confirmReachable: something that we sent took effect.
+// confirmReachable records that a message to the agent took effect.
 func (m *Machine) confirmReachable() {
-	if !m.reachability.reachable {
+	r := &m.reachability
+	if !r.reachable {
 		m.MarkChanged()
 	}
-	m.reachability.reachable, m.reachability.suspectedSince, m.reachability.unansweredCommands, m.reachability.probeNeeded = true, 0, 0, false
+	r.reachable = true
+	r.suspectedSince = 0
+	r.unansweredCommands = 0
+	r.probeNeeded = false
 }
 
-// suspectUnreachable: a report shows that our answer to the one before was not taken, or that
-// nothing is known of the session that it is from.
+// suspectUnreachable records that nothing shows any more that messages reach the agent.
+// proven: a report shows that our answer to the one before was not taken.
 func (m *Machine) suspectUnreachable(now time.Duration, proven bool) {
-	if m.reachability.reachable {
+	r := &m.reachability
+	if r.reachable {
 		m.MarkChanged()
 	}
-	m.reachability.reachable, m.reachability.probeNeeded = false, true
-	if proven && m.reachability.suspectedSince == 0 {
-		m.reachability.suspectedSince = max(now, 1)
-		m.reachability.unansweredCommands = min(m.reachability.unansweredCommands, unansweredCommandLimit-1) // those before may be of a cut
+	r.reachable = false
+	r.probeNeeded = true
+	if proven && r.suspectedSince == 0 {
+		r.suspectedSince = max(now, 1)
+		// Commands that got no answer before may be due to a short network fault.
+		r.unansweredCommands = min(r.unansweredCommands, unansweredCommandLimit-1)
 	}
 }
 
-// updateReachability draws the conclusions of a report that is newer than all before; fresh: of
-// a session that was not known; showed: it shows that something of ours took
-// effect; missing: one that a posted report shows did not.
-func (m *Machine) updateReachability(seq, token uint64, posted, fresh, showed, missing bool, now time.Duration) {
-	h := &m.reachability
-	next := h.precedingSequence != 0 && seq == h.precedingSequence+1
-	switch echo := token >= m.BaseToken && token > h.highestToken; {
-	case !posted || showed || echo:
+// updateReachability draws the conclusions of a report that is newer than all before.
+func (m *Machine) updateReachability(report *protocol.Report, evidence *reportEvidence, now time.Duration) {
+	r := &m.reachability
+	answered := r.precedingSequence != 0
+	isNext := answered && report.Sequence == r.precedingSequence+1
+	hasOurToken := report.FencingToken >= m.BaseToken
+	tookToken := hasOurToken && report.FencingToken > r.highestToken
+	switch {
+	case !evidence.posted || evidence.tookEffect || tookToken:
 		m.confirmReachable()
-	case fresh: // it kept no lease, or is new here
-		m.suspectUnreachable(now, h.precedingSequence != 0)
-	case h.precedingSequence != 0 && (!next || missing || token < m.BaseToken):
+	case evidence.newIncarnation: // its lease expired, or it is new here
+		m.suspectUnreachable(now, answered)
+	case answered && (!isNext || evidence.launchMissing || !hasOurToken):
 		m.suspectUnreachable(now, true)
-	case next:
+	case isNext:
 		m.confirmReachable()
 	default:
-		h.probeNeeded = !h.reachable
+		r.probeNeeded = !r.reachable
 	}
-	h.highestToken = max(h.highestToken, token)
+	r.highestToken = max(r.highestToken, report.FencingToken)
 	switch {
-	case posted:
-		h.precedingSequence = 0 // until it is answered
-	case h.precedingSequence != 0:
-		h.precedingSequence = seq
-	}
-}
-
-// ResetIncarnation is told that the machine is back under its name, with a new life of its worker
-// that counts sessions and messages from the beginning and has seen no token. (Asked
-// and told by GET /status, whose answer is newer than the question; a late copy of an
-// old report looks the same.) Orders of its old life that are on their way could be
-// carried out by the new one, so what may be there counts as there until a report shows
-// a token that is higher than all that were given, or for a lease from now: its session
-// may carry them out, and began before now.
-func (m *Machine) ResetIncarnation(now time.Duration) {
-	m.FencingToken++
-	m.BaseToken = m.FencingToken
-	m.Reconciled, m.restarted = false, true
-	m.Incarnation, m.Sequence, m.incarnationSince = 0, 0, now
-	m.LastPossibleRenewal = max(m.LastPossibleRenewal, now)
-	for _, attempt := range m.Attempts {
-		attempt.launchIncarnation, attempt.launchSequence, attempt.acknowledgeIncarnation, attempt.acknowledgeSequence = 0, 0, 0, 0
-	}
-	m.reachability = reachability{probeNeeded: true}
-	m.MarkChanged()
-}
-
-// isNewer tells whether a report is newer than all before. The highest token that a
-// worker has seen only grows in its life, and a late copy of a report is as old as
-// it was: what shows a lower token than was shown is a copy, or of another life;
-// the first that shows a token of ours is newer than any from before, whatever
-// they are numbered. (A new owner knows no number, and takes a copy as the first
-// report; and a machine that is back counts from the beginning.)
-func (m *Machine) isNewer(report *protocol.Report) bool {
-	switch shown := m.reachability.highestToken; {
-	case report.FencingToken < shown:
-		return false
-	case shown < m.BaseToken && report.FencingToken >= m.BaseToken:
-		return true
+	case evidence.posted:
+		r.precedingSequence = 0 // until it is answered
+	case r.precedingSequence != 0:
+		r.precedingSequence = report.Sequence
 	}
-	return report.IsNewerThan(m.Incarnation, m.Sequence)
 }
 
-// ReportRejected notes that a posted report was not answered with 200; old: as it was not
-// newer than what is known. It tells whether the report may be of another life: it
-// is a late copy otherwise, or crossed an answer to orders.
+// ReportRejected records that a posted report was not answered with 200; outdated: because
+// it was not newer than what is known. It reports whether such a report may be of a
+// restarted machine: otherwise it is a late copy, or was overtaken by the answer to a
+// direct command.
 func (m *Machine) ReportRejected(report *protocol.Report, outdated bool) (mayBeRestarted bool) {
-	h := &m.reachability
-	if outdated && (report.Incarnation < m.Incarnation || report.FencingToken < h.highestToken || report.Sequence <= h.answeredSequence) {
+	r := &m.reachability
+	if outdated && (report.Incarnation < m.Incarnation || report.FencingToken < r.highestToken || report.Sequence <= r.answeredSequence) {
 		return true
 	}
-	h.precedingSequence = 0
+	r.precedingSequence = 0
 	return false
 }
 
-// ThrottleStatusProbe tells whether the machine was asked how it is less than a time ago, and
-// notes that it is asked now if not.
+// ThrottleStatusProbe reports whether the machine's status was requested less than interval
+// ago; if not, it records that it is requested now.
 func (m *Machine) ThrottleStatusProbe(now, interval time.Duration) bool {
 	if m.lastStatusProbe > 0 && now-m.lastStatusProbe < interval {
 		return true
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -143,7 +143,7 @@
 
 // Over tells whether a state is final.
 func Over(s *protocol.JobState) bool {
-	return s.Status == protocol.JobDone || s.Status == protocol.JobCancelled
+	return s.Status.IsFinal()
 }
 
 // Wait polls until the job is over; each state that differs from the one
@@ -174,7 +174,7 @@
 
 // Line is a job's state for people.
 func Line(s *protocol.JobState) string {
-	line := s.ID + " " + s.Status
+	line := s.ID + " " + string(s.Status)
 	if s.Done != nil && s.Running != nil && !Over(s) {
 		line += fmt.Sprintf(" (%d done, %d running)", *s.Done, *s.Running)
 	}
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -34,7 +34,7 @@
 	if len(s.script) > 0 {
 		do, s.script = s.script[0], s.script[1:]
 	}
-	state := func(status int, word string) {
+	state := func(status int, word protocol.JobStatus) {
 		c.SetStatusCode(status)
 		c.SetBody(protocol.Encode(&protocol.JobState{ID: "wk-1", Status: word}))
 	}
@@ -54,7 +54,7 @@
 	case "accepted":
 		state(201, protocol.JobPending)
 	default:
-		state(200, do)
+		state(200, protocol.JobStatus(do))
 	}
 }
 
@@ -97,7 +97,7 @@
 		var refused *Refused
 		switch {
 		case err == nil:
-			got = st.Status
+			got = string(st.Status)
 		case errors.As(err, &refused):
 			got = err.Error()
 		default:
@@ -121,7 +121,7 @@
 func TestWait(t *testing.T) {
 	_, cl := start(t, "pending", "cut", "pending", "running", "busy", "running", "done")
 	said := ""
-	st, err := cl.Wait(context.Background(), "wk-1", func(s *protocol.JobState) { said += s.Status + " " })
+	st, err := cl.Wait(context.Background(), "wk-1", func(s *protocol.JobState) { said += string(s.Status) + " " })
 	if err != nil || st.Status != protocol.JobDone || said != "pending running done " {
 		t.Errorf("%+v %v, told %q", st, err, said)
 	}
--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -136,7 +136,7 @@
 		t.Errorf("released after its deadline it has %v s", late.Job.Deadline)
 	}
 	var end productionFinal
-	if err := protocol.Decode(protocol.Encode(&shard.FinalRecord{Status: protocol.JobCancelled, Tasks: 16, CancelledWith: "wk-1"}), &end); err != nil || end.Status != protocol.JobCancelled || end.Tasks != 16 {
+	if err := protocol.Decode(protocol.Encode(&shard.FinalRecord{Status: protocol.JobCancelled, Tasks: 16, CancelledWith: "wk-1"}), &end); err != nil || end.Status != string(protocol.JobCancelled) || end.Tasks != 16 {
 		t.Errorf("an end is read as %+v, %v", end, err)
 	}
 }
--- a/internal/controller/reports.go
+++ b/internal/controller/reports.go
@@ -18,8 +18,8 @@
 
 // HandleHeartbeat handles POST /v1/report.
 func (c *Controller) HandleHeartbeat(report *protocol.Report, reply HeartbeatReply) {
-	if bad := report.Validate(); bad != "" {
-		reply(400, &protocol.ErrorResponse{Error: bad})
+	if err := report.Validate(); err != nil {
+		reply(400, &protocol.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if !c.store.IsLoaded() {
@@ -109,7 +109,7 @@
 	c.env.Call(machine.Address, "POST", "/orders", body, answer, limit, func(status int) {
 		c.workerCallsInFlight--
 		// What is not this machine's report does not say what became of the orders.
-		if status != 200 && status != 409 || answer.Machine != machine.ID || answer.Validate() != "" {
+		if status != 200 && status != 409 || answer.Machine != machine.ID || answer.Validate() != nil {
 			machine.CommandsLost(body.FencingToken)
 			// A machine that does not answer must not hold sockets that others need.
 			machine.PauseCommands(c.env.Now() + limit<<min(machine.UnansweredCommands(), 4)/2 + time.Duration(c.env.Rand().Int64N(int64(limit)/2)))
@@ -171,7 +171,7 @@
 	report := &protocol.Report{}
 	c.env.Call(address, "GET", "/status", nil, report, min(2*time.Second, c.reportInterval()), func(status int) {
 		c.workerCallsInFlight--
-		if status != 200 || report.Machine != id || report.Validate() != "" {
+		if status != 200 || report.Machine != id || report.Validate() != nil {
 			report = nil
 		}
 		done(report)
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -304,7 +304,7 @@
 	c.enrolment.probing[id] = true
 	c.fetchMachineStatus(id, report.Address, func(answer *protocol.Report) {
 		delete(c.enrolment.probing, id)
-		if answer != nil && answer.Validate() == "" && c.needsRecord(id) && (c.isLeader() || c.isCutOffFromLeader()) {
+		if answer != nil && answer.Validate() == nil && c.needsRecord(id) && (c.isLeader() || c.isCutOffFromLeader()) {
 			c.recordMachine(answer)
 		}
 	})
--- a/internal/devcluster/dependency_test.go
+++ b/internal/devcluster/dependency_test.go
@@ -58,7 +58,13 @@
 	if s, err := c.Abort(ctx, "wk-long"); err != nil || s.Status != protocol.JobCancelled {
 		t.Errorf("%+v, %v", s, err)
 	}
-	for id, want := range map[string]string{"wk-first": protocol.JobDone, "wk-second": protocol.JobDone, "wk-third": protocol.JobDone, "wk-next": protocol.JobCancelled, "wk-last": protocol.JobCancelled} {
+	for id, want := range map[string]protocol.JobStatus{
+		"wk-first":  protocol.JobDone,
+		"wk-second": protocol.JobDone,
+		"wk-third":  protocol.JobDone,
+		"wk-next":   protocol.JobCancelled,
+		"wk-last":   protocol.JobCancelled,
+	} {
 		s, err := c.Wait(ctx, id, nil)
 		if err != nil || s.Status != want || want == protocol.JobCancelled && s.CancelledBy != "wk-long" {
 			t.Errorf("%s: %+v, %v", id, s, err)
--- a/internal/federation/federation_test.go
+++ b/internal/federation/federation_test.go
@@ -68,7 +68,7 @@
 
 func TestOfferableTasks(t *testing.T) {
 	for _, c := range []struct {
-		shape              string
+		shape              protocol.JobShape
 		tasks, room, share int
 		want               int
 	}{
--- a/internal/nomad/jobs.go
+++ b/internal/nomad/jobs.go
@@ -1,6 +1,7 @@
 package nomad
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"sort"
@@ -72,7 +73,7 @@
 	if r := m.text(job, "region", "global"); r != "global" {
 		m.bad(job.Attrs["region"].At, "region %q: there is one region; partner clusters are the operators'", r)
 	}
-	shape := ""
+	var shape protocol.JobShape
 	switch t := m.text(job, "type", "service"); t {
 	case "batch":
 		shape = protocol.ShapeArray
@@ -108,8 +109,9 @@
 		if n := m.group(job, g, shape, rank, zone); n != nil {
 			id := "wk-nomad." + p.Namespace + "." + p.Name + "." + g.Labels[0]
 			n.Job.ID = &id
-			if _, bad := n.Job.Validate(); bad != "" { // such as names that are too long together
-				m.bad(g.At, "the scheduler would refuse it: %s", bad)
+			var invalid *protocol.FieldError
+			if _, err := n.Job.Validate(); errors.As(err, &invalid) { // such as names that are too long together
+				m.bad(g.At, "the scheduler would refuse it: %s", invalid.Field)
 			}
 			p.Jobs = append(p.Jobs, *n)
 		}
@@ -252,7 +254,7 @@
 	return vals, where
 }
 
-func (m *mapper) group(job, g *Node, shape, rank, zone string) *Native {
+func (m *mapper) group(job, g *Node, shape protocol.JobShape, rank, zone string) *Native {
 	before := len(m.probs)
 	var task *Node
 	tasks := 0
--- a/internal/nomad/nomad_test.go
+++ b/internal/nomad/nomad_test.go
@@ -79,8 +79,8 @@
 			continue
 		}
 		for _, j := range p.Jobs {
-			if _, bad := j.Job.Validate(); bad != "" {
-				t.Errorf("%s: the scheduler would refuse it: %s", f, bad)
+			if _, err := j.Job.Validate(); err != nil {
+				t.Errorf("%s: the scheduler would refuse it: %v", f, err)
 			}
 			w, _ := json.MarshalIndent(struct {
 				Job     map[string]any `json:"job"`
@@ -191,8 +191,8 @@
 		if n, err := ReadAny("f", src, Inputs{}); err == nil {
 			if p, err := Jobs(n, testRules()); err == nil {
 				for _, j := range p.Jobs {
-					if _, bad := j.Job.Validate(); bad != "" {
-						t.Errorf("taken, but the scheduler would refuse it: %s", bad)
+					if _, err := j.Job.Validate(); err != nil {
+						t.Errorf("taken, but the scheduler would refuse it: %v", err)
 					}
 				}
 			}
--- /dev/null
+++ b/internal/protocol/validate.go
@@ -0,0 +1,116 @@
+package protocol
+
+import (
+	"math"
+	"slices"
+)
+
+// FieldError tells which field of a message is missing or not valid, by its name in the
+// protocol.
+type FieldError struct {
+	Field string
+}
+
+// Error implements error.
+func (e *FieldError) Error() string { return "missing or invalid: " + e.Field }
+
+// Validate returns the job that a submission describes. The error is a *FieldError for the
+// first field, in the protocol's order, that is not valid.
+func (s *Submission) Validate() (*Job, error) {
+	for _, check := range s.fieldChecks() {
+		if !check.valid {
+			return nil, &FieldError{check.field}
+		}
+	}
+	priority, ok := ParsePriority(*s.Priority)
+	if !ok {
+		return nil, &FieldError{"rank"}
+	}
+	dependencies, err := validDependencies(s.Dependencies)
+	if err != nil {
+		return nil, err
+	}
+	return &Job{
+		ID:                 *s.ID,
+		Class:              *s.Class,
+		Team:               *s.Team,
+		Shape:              *s.Shape,
+		Priority:           priority,
+		Tasks:              int(*s.Tasks),
+		Cores:              *s.Cores,
+		GPUs:               *s.GPUs,
+		MemoryGB:           *s.MemoryGB,
+		Image:              *s.Image,
+		ImageGB:            *s.ImageGB,
+		MachineTypes:       s.MachineTypes,
+		Zone:               valueOrZero(s.Zone),
+		SingleZone:         *s.SingleZone,
+		SpreadZones:        *s.SpreadZones,
+		AllowSpot:          *s.AllowSpot,
+		Estimate:           *s.Estimate,
+		CheckpointInterval: *s.CheckpointInterval,
+		CheckpointDuration: *s.CheckpointDuration,
+		Deadline:           valueOrZero(s.Deadline),
+		Dependencies:       dependencies,
+	}, nil
+}
+
+// fieldCheck is the result for one field.
+type fieldCheck struct {
+	field string
+	valid bool
+}
+
+// fieldChecks checks each field by itself.
+func (s *Submission) fieldChecks() []fieldCheck {
+	return []fieldCheck{
+		{"id", s.ID != nil && ValidJobID(*s.ID)},
+		{"trade", isNonEmpty(s.Class)},
+		{"crew", s.Team != nil},
+		{"shape", s.Shape != nil && s.Shape.IsKnown()},
+		{"rank", s.Priority != nil},
+		{"pieces", s.Tasks != nil && *s.Tasks >= 1 && *s.Tasks <= MaxTasks},
+		{"cores", isAmount(s.Cores)},
+		{"accelerators", isAmount(s.GPUs)},
+		{"memoryGb", isAmount(s.MemoryGB)},
+		{"kit", isNonEmpty(s.Image)},
+		{"pullGb", isAmount(s.ImageGB)},
+		{"yard", s.Zone == nil || isNonEmpty(s.Zone)}, // null is any zone
+		{"together", s.SingleZone != nil},
+		{"apart", s.SpreadZones != nil},
+		{"loaners", s.AllowSpot != nil},
+		{"reckonS", isAmount(s.Estimate)},
+		{"markS", isAmount(s.CheckpointInterval)},
+		{"stowS", isAmount(s.CheckpointDuration)},
+		{"dueS", s.Deadline == nil || isAmount(s.Deadline)}, // null is no deadline
+	}
+}
+
+// validDependencies returns the jobs named, each once.
+func validDependencies(names []string) ([]string, error) {
+	var dependencies []string
+	for _, name := range names {
+		if !ValidJobID(name) {
+			return nil, &FieldError{"awaits"}
+		}
+		if !slices.Contains(dependencies, name) {
+			dependencies = append(dependencies, name)
+		}
+	}
+	return dependencies, nil
+}
+
+func isNonEmpty(s *string) bool { return s != nil && *s != "" }
+
+// isAmount reports whether a number is given that can be an amount.
+func isAmount(f *float64) bool {
+	return f != nil && *f >= 0 && !math.IsInf(*f, 0) // false for NaN
+}
+
+func valueOrZero[T any](p *T) T {
+	if p == nil {
+		var zero T
+		return zero
+	}
+	return *p
+}
--- a/internal/shard/bench_test.go
+++ b/internal/shard/bench_test.go
@@ -48,9 +48,9 @@
 					seq++
 					r := &protocol.Report{Machine: m.ID, Address: "w", Type: "small", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: 100}
 					for k, key := range m.AttemptIDs() {
-						state, cause := protocol.TaskRunning, ""
+						state, cause := protocol.TaskRunning, protocol.TerminationCause("")
 						if k == 0 {
-							state, cause = protocol.TaskEnded, protocol.JobDone
+							state, cause = protocol.TaskEnded, protocol.CauseDone
 						}
 						r.Tasks = append(r.Tasks, protocol.TaskReport{Task: key.String(), Attempt: key.Number, State: state, Cause: cause})
 					}
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -141,10 +141,10 @@
 
 // FinalRecord is the end of a job, kept for ever under FinalKey.
 type FinalRecord struct {
-	Nonce   string  `cbor:"w"`
-	Status  string  `cbor:"s"`
-	Tasks   int     `cbor:"n"`
-	EndedAt float64 `cbor:"at"`
+	Nonce   string             `cbor:"w"`
+	Status  protocol.JobStatus `cbor:"s"`
+	Tasks   int                `cbor:"n"`
+	EndedAt float64            `cbor:"at"`
 	// DoneRanges lists the tasks of a borrowed job that ended well; all, if it is done.
 	DoneRanges [][2]int `cbor:"d,omitempty"`
 	// CancelledWith is the job with whose cancellation this one, which needed it, was withdrawn.
--- a/internal/shard/runs.go
+++ b/internal/shard/runs.go
@@ -83,7 +83,7 @@
 func (s *Shard) handleAppeared(machine *Machine, attempt *agent.Attempt) {
 	job := s.Jobs[attempt.Job]
 	ours := job != nil && attempt.Index < job.Record.Job.Tasks && job.Record.ShardOf(attempt.Index) == s.ID
-	if ours && attempt.HasEnded() && attempt.Cause == protocol.JobDone {
+	if ours && attempt.HasEnded() && attempt.Cause == protocol.CauseDone {
 		if job.taskStates[attempt.Index] == taskPlaced {
 			if pl := job.placements[attempt.TaskID]; pl != nil {
 				pl.machine.RequestStop(pl.attempt, 0)
@@ -129,7 +129,7 @@
 		attempt.Acknowledge = true
 		return
 	}
-	if attempt.Cause == protocol.JobDone {
+	if attempt.Cause == protocol.CauseDone {
 		if attempt.StartedAt > 0 {
 			s.learnRuntime(&job.Record.Job, s.controller.Now()-attempt.StartedAt)
 		}
--- a/internal/simulator/awaits_test.go
+++ b/internal/simulator/awaits_test.go
@@ -24,7 +24,7 @@
 	s.Cancel(8, "wk-gone")
 	type answer struct {
 		status int
-		state  string
+		state  protocol.JobStatus
 	}
 	var body map[string]any
 	if err := protocol.Decode(protocol.Encode(NewSubmission("wk-x", protocol.ShapeArray, 1, 0.1, 2, nil)), &body); err != nil {
@@ -63,7 +63,7 @@
 	ask(20, "wk-6", []string{"wk-gone"}, withdrawn, pending)
 	for i, bad := range []any{"wk-runs", 7, []any{7}, []string{"runs"}, []any{nil}, map[string]any{"wk-runs": 1}, []string{"wk-runs", "wk-a/b"}} {
 		ask(20+float64(i)/10, "wk-bad", bad, answer{400, ""})
-		ask(30, "wk-runs", bad, answer{200, protocol.TaskRunning}) // known: a repeat
+		ask(30, "wk-runs", bad, answer{200, protocol.JobRunning}) // known: a repeat
 	}
 	ask(20, "wk-self", []string{"wk-self"}, answer{422, ""})
 	ask(20, "wk-never", []string{"wk-runs", "wk-nobody"}, answer{422, ""})
--- a/internal/simulator/days_test.go
+++ b/internal/simulator/days_test.go
@@ -61,7 +61,7 @@
 	return ids
 }
 
-func expectStatus(t *testing.T, s *Cluster, want string, ids ...string) {
+func expectStatus(t *testing.T, s *Cluster, want protocol.JobStatus, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
 		if got := s.ReportedStatus(id); got != want {
--- a/internal/simulator/federation_test.go
+++ b/internal/simulator/federation_test.go
@@ -68,7 +68,7 @@
 }
 
 // expectFinished checks that every job is done, or withdrawn, and no loan is left.
-func expectFinished(t *testing.T, w, e *Cluster, status string, ids ...string) {
+func expectFinished(t *testing.T, w, e *Cluster, status protocol.JobStatus, ids ...string) {
 	t.Helper()
 	expectNoLoans(t, w, e)
 	expectStatus(t, w, status, ids...)
--- a/internal/simulator/job_end_test.go
+++ b/internal/simulator/job_end_test.go
@@ -17,11 +17,12 @@
 // answered first stays so, at each controller, and nothing of a cancelled job is left.
 func TestRequestsAsJobCompletes(t *testing.T) {
 	kinds := []struct {
-		name, shape string
-		tasks       int
-		single      bool
+		name   string
+		shape  protocol.JobShape
+		tasks  int
+		single bool
 	}{{"single task", protocol.ShapeArray, 1, false}, {"single task of a rush", protocol.ShapeArray, 1, true}, {"array of three", protocol.ShapeArray, 3, false}, {"gang", protocol.ShapeGang, 2, false}}
-	ends := map[string]int{}
+	ends := map[protocol.JobStatus]int{}
 	for i, kind := range kinds {
 		for k, slow := range []float64{0, 1.2} {
 			sub := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5, nil)
--- a/internal/simulator/late_writes_test.go
+++ b/internal/simulator/late_writes_test.go
@@ -330,7 +330,7 @@
 // A cancellation meets the end of the job's last task, gets no answer and is carried out
 // seconds later, when users have been told that the job is done: it stays so.
 func TestDelayedCancellations(t *testing.T) {
-	ends := map[string]int{}
+	ends := map[protocol.JobStatus]int{}
 	for i := range 40 {
 		s := NewCluster(uint64(1460 + i))
 		s.ServeAPI()
--- a/internal/simulator/live.go
+++ b/internal/simulator/live.go
@@ -288,7 +288,7 @@
 	if method == "POST" && path == "/v2/runs" {
 		var sub protocol.Submission
 		if protocol.IsMap(body) && protocol.Decode(body, &sub) == nil {
-			if job, bad := sub.Validate(); bad == "" {
+			if job, err := sub.Validate(); err == nil {
 				f.live.Do(func() {
 					if f.cluster.jobs[job.ID] == nil {
 						f.cluster.jobs[job.ID] = job
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -113,18 +113,18 @@
 	Machines          map[string]*Machine
 	jobs              map[string]*protocol.Job
 	cancelledAt       map[string]time.Duration
-	reportedStatus    map[string]string
+	reportedStatus    map[string]protocol.JobStatus
 	failedSubmissions map[string]int           // tries to submit a job that failed while the state service was down
 	endReportedAt     map[string]time.Duration // when a user was told a job's end
 	completedTasks    map[agent.TaskID]bool
 	histories         *JobHistories
 	submissions       map[string]*protocol.Submission
-	OnJobCompleted    func(job string)         // the last task of a job has ended
-	OnStatusReported  func(job, status string) // a user was told something new of a job; pending: that it is accepted
-	FailingJobs       map[string]bool          // jobs that fail on every machine
-	FailedStarts      []agent.TaskID           // starts that ended with an error
-	RuntimeSpread     map[string]float64       // by class: how many times the first one's time each further task of an array runs longer
-	RuntimeFactors    map[string]float64       // by class: how many times its estimate an array's task runs; 0: about once
+	OnJobCompleted    func(job string)                            // the last task of a job has ended
+	OnStatusReported  func(job string, status protocol.JobStatus) // a user was told something new of a job; pending: that it is accepted
+	FailingJobs       map[string]bool                             // jobs that fail on every machine
+	FailedStarts      []agent.TaskID                              // starts that ended with an error
+	RuntimeSpread     map[string]float64                          // by class: how many times the first one's time each further task of an array runs longer
+	RuntimeFactors    map[string]float64                          // by class: how many times its estimate an array's task runs; 0: about once
 }
 
 // address is a host's address; those of several clusters must not collide.
@@ -168,7 +168,7 @@
 // newCluster adds a cluster with nothing in it.
 func (n *Network) newCluster(name string) *Cluster {
 	s := &Cluster{Network: n, Name: name, Controllers: map[string]*ControllerProcess{}, Machines: map[string]*Machine{}, jobs: map[string]*protocol.Job{},
-		cancelledAt: map[string]time.Duration{}, reportedStatus: map[string]string{}, failedSubmissions: map[string]int{}, endReportedAt: map[string]time.Duration{}, submissions: map[string]*protocol.Submission{}, histories: &JobHistories{}}
+		cancelledAt: map[string]time.Duration{}, reportedStatus: map[string]protocol.JobStatus{}, failedSubmissions: map[string]int{}, endReportedAt: map[string]time.Duration{}, submissions: map[string]*protocol.Submission{}, histories: &JobHistories{}}
 	n.clusters[name] = s
 	return s
 }
--- a/internal/simulator/overflow_bench_test.go
+++ b/internal/simulator/overflow_bench_test.go
@@ -92,7 +92,7 @@
 		case f[2] == "accepted" && at < 600-limit-3:
 			began[f[1]] = at
 			all++
-		case len(f) == 4 && f[3] == protocol.JobDone && began[f[1]] > 0 && at-began[f[1]] <= limit+3:
+		case len(f) == 4 && f[3] == string(protocol.JobDone) && began[f[1]] > 0 && at-began[f[1]] <= limit+3:
 			in++
 		}
 	}
--- a/internal/simulator/pipeline_test.go
+++ b/internal/simulator/pipeline_test.go
@@ -114,7 +114,7 @@
 	"down as the cancellation is confirmed": func(s *Cluster, at float64) {
 		s.DropCancellationNotices = true
 		s.refuseControllersFor(at-0.5, at+6, leaderOnly)
-		s.OnStatusReported = func(_, status string) {
+		s.OnStatusReported = func(_ string, status protocol.JobStatus) {
 			if status != protocol.JobCancelled || s.State.Unavailable {
 				return
 			}
@@ -133,7 +133,7 @@
 // is done, and no task starts before what its job needs.
 func TestDependencyCancelledAtAnyMoment(t *testing.T) {
 	t.Parallel()
-	ends := map[string]int{}
+	ends := map[protocol.JobStatus]int{}
 	seed := uint64(3200)
 	for _, trouble := range slices.Sorted(maps.Keys(pipelineTroubles)) {
 		for _, stage := range []string{"first", "left", "join", "last"} {
--- a/internal/simulator/random_failures_test.go
+++ b/internal/simulator/random_failures_test.go
@@ -71,7 +71,7 @@
 	{"jobs of one zone lose machines", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
 		yes := true
 		for i := range 4 {
-			shape := []string{protocol.ShapeArray, protocol.ShapeGang}[r.IntN(2)]
+			shape := []protocol.JobShape{protocol.ShapeArray, protocol.ShapeGang}[r.IntN(2)]
 			s.Submit(at-3+float64(i)/2, NewSubmission(fmt.Sprintf("wk-z%d", i), shape, 2+r.IntN(2), float64(1+r.IntN(2)), 4+14*r.Float64(), func(x *protocol.Submission) { x.SingleZone = &yes }))
 		}
 		s.At(at, w[r.IntN(len(w))].Die)
--- a/internal/simulator/rush_test.go
+++ b/internal/simulator/rush_test.go
@@ -69,7 +69,7 @@
 			for _, wrong := range s.checkDay(false) {
 				t.Errorf("%s: %s", what, wrong)
 			}
-			ordered, ends := 0, map[string]int{}
+			ordered, ends := 0, map[protocol.JobStatus]int{}
 			for id := range s.jobs {
 				ordered += s.histories.job(id).launchesAfterCancellation
 				ends[s.ReportedStatus(id)]++
--- a/internal/simulator/user_consistency_test.go
+++ b/internal/simulator/user_consistency_test.go
@@ -16,8 +16,8 @@
 // and repeat the submission, right after a job was accepted, done or confirmed as
 // cancelled; a share of the jobs is cancelled at once.
 func (c *Cluster) pollEveryController(r *rand.Rand, cancelled float64) {
-	c.OnStatusReported = func(id, status string) {
-		if status == protocol.TaskRunning {
+	c.OnStatusReported = func(id string, status protocol.JobStatus) {
+		if status == protocol.JobRunning {
 			return
 		}
 		cancel := status == protocol.JobPending && r.Float64() < cancelled
@@ -60,7 +60,7 @@
 			s.delayResponsesFor("/changes", r, 6, 40, 2)
 		},
 	}
-	looks, ends := 0, map[string]int{}
+	looks, ends := 0, map[protocol.JobStatus]int{}
 	for _, name := range slices.Sorted(maps.Keys(troubles)) {
 		for seed := uint64(2000); seed < 2003; seed++ {
 			s := newMonitoredCluster(seed, 60)
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -10,12 +10,12 @@
 )
 
 // NewSubmission makes a submission with the usual fields; edit changes it.
-func NewSubmission(id, shape string, tasks int, cores, estimate float64, edit func(s *protocol.Submission)) *protocol.Submission {
+func NewSubmission(id string, shape protocol.JobShape, tasks int, cores, estimate float64, edit func(s *protocol.Submission)) *protocol.Submission {
 	p := func(s string) *string { return &s }
 	f := func(v float64) *float64 { return &v }
 	n, no := uint64(tasks), false
 	yes := true
-	s := &protocol.Submission{ID: p(id), Class: p("class"), Team: p("red"), Shape: p(shape), Priority: p("standard"), Tasks: &n, Cores: f(cores),
+	s := &protocol.Submission{ID: p(id), Class: p("class"), Team: p("red"), Shape: &shape, Priority: p("standard"), Tasks: &n, Cores: f(cores),
 		GPUs: f(0), MemoryGB: f(1), Image: p("img"), ImageGB: f(0.5), SingleZone: &no, SpreadZones: &no, AllowSpot: &yes, Estimate: f(estimate), CheckpointInterval: f(0), CheckpointDuration: f(0)}
 	if edit != nil {
 		edit(s)
@@ -75,7 +75,7 @@
 func (c *Cluster) trySubmit(sub *protocol.Submission, tries int) {
 	id := *sub.ID
 	c.histories.recordSubmission(id, c.now)
-	if j, bad := sub.Validate(); bad == "" && c.jobs[id] == nil {
+	if j, err := sub.Validate(); err == nil && c.jobs[id] == nil {
 		c.jobs[id], c.submissions[id] = j, sub
 		c.histories.job(id).maxConcurrent = maxConcurrentTasks(j, c.Settings.Team(j.Team))
 	}
@@ -132,9 +132,9 @@
 	})
 }
 
-func (c *Cluster) recordStatus(id, status string) {
+func (c *Cluster) recordStatus(id string, status protocol.JobStatus) {
 	was := c.reportedStatus[id]
-	if cancel := time.Duration(c.Settings.Deployment.Workers.Cancel * float64(time.Second)); (status == protocol.JobPending || status == protocol.TaskRunning) && c.hasCancelledDependency(id, cancel) {
+	if cancel := time.Duration(c.Settings.Deployment.Workers.Cancel * float64(time.Second)); (status == protocol.JobPending || status == protocol.JobRunning) && c.hasCancelledDependency(id, cancel) {
 		c.reportViolation("orphaned: %s is called %s", id, status)
 	}
 	if (was == protocol.JobDone || was == protocol.JobCancelled) && status != was {
@@ -163,7 +163,7 @@
 	c.notifyStatus(id, status)
 }
 
-func (c *Cluster) notifyStatus(id, status string) {
+func (c *Cluster) notifyStatus(id string, status protocol.JobStatus) {
 	if c.OnStatusReported != nil {
 		c.OnStatusReported(id, status)
 	}
@@ -297,13 +297,13 @@
 	var check func()
 	check = func() {
 		n := 0
-		var left []func(cause string)
+		var left []func(cause protocol.TerminationCause)
 		for _, id := range c.machineIDs() {
 			w := c.Machines[id]
 			for _, t := range w.attempts {
 				if t.Job == job.ID && t.number == try && t.present {
 					n++
-					left = append(left, func(cause string) { w.endAttempt(t, cause) })
+					left = append(left, func(cause protocol.TerminationCause) { w.endAttempt(t, cause) })
 				}
 			}
 		}
@@ -315,7 +315,7 @@
 			}
 		case c.now-started >= takes:
 			for _, f := range left {
-				f(protocol.JobDone)
+				f(protocol.CauseDone)
 			}
 		default:
 			c.after(500*time.Millisecond, check)
@@ -339,4 +339,4 @@
 }
 
 // ReportedStatus is what a job's user was told last.
-func (c *Cluster) ReportedStatus(id string) string { return c.reportedStatus[id] }
+func (c *Cluster) ReportedStatus(id string) protocol.JobStatus { return c.reportedStatus[id] }
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -40,8 +40,8 @@
 type attempt struct {
 	agent.TaskID
 	number          uint64
-	state           string
-	cause           string
+	state           protocol.TaskState
+	cause           protocol.TerminationCause
 	saved           bool
 	present         bool // has its image and has not exited
 	resultExisted   bool // its result was there already
@@ -301,7 +301,7 @@
 		home.histories.job(whose.Job).launchesAfterCancellation++
 	}
 	job := m.cluster.jobByID(key.Job)
-	refuse := func(cause string) { t.state, t.cause = protocol.TaskEnded, cause }
+	refuse := func(cause protocol.TerminationCause) { t.state, t.cause = protocol.TaskEnded, cause }
 	if job == nil || key.Index >= job.Tasks {
 		refuse(protocol.CauseUnknownTask)
 		return
@@ -375,19 +375,19 @@
 	if home, whose := m.cluster.origin(t.TaskID); home.completedTasks[whose] {
 		left, t.resultExisted = 0, true // its result is there from before
 	}
-	m.scheduleStep(t, left, func() { m.endAttempt(t, protocol.JobDone) })
+	m.scheduleStep(t, left, func() { m.endAttempt(t, protocol.CauseDone) })
 }
 
-func (m *Machine) endAttempt(t *attempt, cause string) {
+func (m *Machine) endAttempt(t *attempt, cause protocol.TerminationCause) {
 	t.timerGeneration++
 	switch {
-	case t.resultExisted && cause == protocol.JobDone:
+	case t.resultExisted && cause == protocol.CauseDone:
 		m.observe(t, "kept")
 	case t.present:
-		m.observe(t, cause)
+		m.observe(t, string(cause))
 	}
 	t.state, t.cause, t.present = protocol.TaskEnded, cause, false
-	if cause == protocol.JobDone {
+	if cause == protocol.CauseDone {
 		m.cluster.recordCompletion(t.TaskID, m)
 	}
 	m.reportSoon()
--- a/internal/userapi/dependent.go
+++ b/internal/userapi/dependent.go
@@ -8,7 +8,7 @@
 
 // This file has what is particular to jobs that need others.
 
-func dependencyOutcome(status string) dependency.Outcome {
+func dependencyOutcome(status protocol.JobStatus) dependency.Outcome {
 	switch status {
 	case protocol.JobDone:
 		return dependency.OutcomeDone
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -145,7 +145,7 @@
 	done, running, started := in.host.JobProgress(id)
 	s := &protocol.JobState{ID: id, Status: protocol.JobPending, Done: &done, Running: &running}
 	if started && running > 0 {
-		s.Status = protocol.TaskRunning
+		s.Status = protocol.JobRunning
 	}
 	s.Remote, s.PendingDependencies = in.host.RemoteTasks(id), in.openDependencies(id)
 	return s
@@ -165,8 +165,8 @@
 	default:
 		if err := protocol.Decode(body, &s); err != nil {
 			bad = "invalid field or not CBOR"
-		} else if job, bad = s.Validate(); bad != "" {
-			bad = "missing or invalid: " + bad
+		} else if job, err = s.Validate(); err != nil {
+			bad = err.Error()
 		}
 	}
 	if bad != "" {
