--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -46,7 +46,7 @@
 	LeaseID  uint64 // the lease it is deleted with; 0: none
 }
 
-// Store is one controller's view of the key-value service.
+// Store is one controller's client of the key-value service.
 type Store struct {
 	env     env.Environment
 	address string
@@ -160,15 +160,20 @@
 	})
 }
 
-// retryDelay is the pause after a failed request, with jitter, so that the controllers do
-// not return in step after an outage.
+// retryDelay is the pause after a failed request: 0.1 s and, on average, the time in which
+// the service allows ten requests by each controller. The jitter of half of that keeps the
+// controllers from returning in step after an outage.
 func (s *Store) retryDelay() time.Duration {
-	base := 20 * float64(s.limits.Members) / s.limits.RequestsPerSecond
-	return time.Duration((0.2 + base*(0.5+s.env.Rand().Float64())) * float64(time.Second) / 2)
+	const minSeconds, requestsPerMember, minJitter = 0.2, 20, 0.5 // halved below
+	base := requestsPerMember * float64(s.limits.Members) / s.limits.RequestsPerSecond
+	seconds := minSeconds + base*(minJitter+s.env.Rand().Float64())
+	return time.Duration(seconds * float64(time.Second) / 2)
 }
 
-// syncInterval spaces syncs and watches so that those of all controllers together use
-// about half of the requests that the service allows.
+// syncInterval is the least time between two syncs, and between two watches. Those of all
+// controllers together so use at most half of the requests that the service allows.
 func (s *Store) syncInterval() time.Duration {
-	return time.Duration(4 * float64(s.limits.Members) / s.limits.RequestsPerSecond * float64(time.Second))
+	const requestsPerMember = 4
+	seconds := requestsPerMember * float64(s.limits.Members) / s.limits.RequestsPerSecond
+	return time.Duration(seconds * float64(time.Second))
 }
--- /dev/null
+++ b/internal/kvstore/latency_test.go
@@ -0,0 +1,41 @@
+package kvstore
+
+import (
+	"testing"
+	"time"
+)
+
+// A few late answers among many move the estimate little, so that the next late one is
+// still told from the others.
+func TestLatencyEstimateIgnoresFewLateAnswers(t *testing.T) {
+	var estimate latencyEstimate
+	for i := range 1000 {
+		latency := 5 * time.Millisecond
+		if i%25 == 24 {
+			latency = 242 * time.Millisecond
+		}
+		estimate.observe(latency)
+	}
+	limit, ok := estimate.lateAfter()
+	if !ok || limit < 20*time.Millisecond || limit > 40*time.Millisecond {
+		t.Errorf("late after %v (%v), want 20 to 40 ms", limit, ok)
+	}
+}
+
+// Without an observed answer, or with a usual one near the timeout, none is taken for late.
+func TestLatencyEstimateWithoutLimit(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		p90  time.Duration
+	}{
+		{"none observed", 0},
+		{"slow service", requestTimeout / 2 / lateFactor},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			estimate := latencyEstimate{p90: test.p90}
+			if limit, ok := estimate.lateAfter(); ok {
+				t.Errorf("late after %v, want no limit", limit)
+			}
+		})
+	}
+}
--- a/internal/kvstore/send.go
+++ b/internal/kvstore/send.go
@@ -87,10 +87,11 @@
 
 // applyOwnMutation takes one mutation of an applied batch into the cache.
 //
-// What the cache has passed it knows better than an answer that comes late: a key that is
-// not there any more was deleted since. (A transaction that moved a job had its answer
-// delayed, and the job was cancelled by then through another controller: the answer put
-// the job back into this one's cache, for good, where it was started again.)
+// If the cache already contains the changes up to a later revision, it knows better than
+// this answer, which came late: a key that is missing was deleted since. (The answer to a
+// transaction that moved a job was delayed until the job had been cancelled through
+// another controller. The answer put the job back into this one's cache, for good, and it
+// was started again.)
 func (s *Store) applyOwnMutation(mutation *protocol.Mutation, revision uint64) {
 	key := mutationKey(mutation)
 	if !strings.HasPrefix(key, CachedPrefix) || s.cache[key].Revision >= revision {
