--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -94,7 +94,7 @@
 	}
 	c.arrivals = autoscaler.NewArrivalRate(4 * c.workerLease())
 	c.store = kvstore.New(environment, cfg.Services.State, cfg.Name, kvstore.Limits{RequestsPerSecond: deployment.State.RPS, WritesPerSecond: deployment.State.WriteRPS,
-		ValueKB: deployment.State.ValueKB, MutationsPerTransaction: deployment.State.TxnOps, Members: len(c.controllerNames)}, c.onKeyChange)
+		MutationsPerTransaction: deployment.State.TxnOps, Members: len(c.controllerNames)}, c.onKeyChange)
 	metered.incarnation = c.store.Incarnation()
 	c.lastPlacementRequestID = metered.incarnation // an answer to the process before is none to this one's questions
 	c.registry = election.New(cfg.Name, c.store)
--- a/internal/controller/crowd_test.go
+++ b/internal/controller/crowd_test.go
@@ -33,7 +33,7 @@
 		n.settings.Zone = "a"
 		n.settings.Deployment.Workers.Lease = 20
 		n.settings.Deployment.Limits.Sockets = c.sockets
-		n.store = kvstore.New(w, "state", "n0", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 50, ValueKB: 8, MutationsPerTransaction: 8, Members: 5}, func(string, []byte) {})
+		n.store = kvstore.New(w, "state", "n0", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 50, MutationsPerTransaction: 8, Members: 5}, func(string, []byte) {})
 		n.registry = election.New("n0", n.store)
 		for k := 0; k < 5; k++ {
 			for i := 0; i < 100; i++ {
--- a/internal/election/fakeservice_test.go
+++ b/internal/election/fakeservice_test.go
@@ -105,7 +105,7 @@
 // startMember starts a controller's registry on what is stored.
 func (f *fakeService) startMember(name string) *member {
 	m := &member{previousOwnerLeft: map[string]time.Duration{}}
-	limits := kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, ValueKB: 8, MutationsPerTransaction: 12, Members: 2}
+	limits := kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MutationsPerTransaction: 12, Members: 2}
 	store := kvstore.New(f, "state", name, limits, func(key string, value []byte) { m.ApplyChange(key, value) })
 	m.Registry = New(name, store)
 	m.PreviousOwnerDeadline = func() float64 { return f.wallSeconds() + testLeaseTTL.Seconds() }
--- a/internal/kvstore/fakeservice_test.go
+++ b/internal/kvstore/fakeservice_test.go
@@ -90,7 +90,7 @@
 // newTestStore makes a store on a fake service that answers transactions by reply.
 func newTestStore(reply func(*protocol.Transaction) (int, protocol.TransactionResult)) (*fakeService, *Store) {
 	service := &fakeService{reply: reply}
-	limits := Limits{RequestsPerSecond: 100, WritesPerSecond: 100, ValueKB: 16, MutationsPerTransaction: 12, Members: 1}
+	limits := Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MutationsPerTransaction: 12, Members: 1}
 	return service, New(service, "state", "n0", limits, func(string, []byte) {})
 }
 
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -29,12 +29,11 @@
 	readTimeout = requestTimeout * 3 / 4
 )
 
-// Limits are the service's rate and size limits, from the settings, and the number of
+// Limits are the service's limits on rate and transaction size, from the settings, and the number of
 // controllers that share them.
 type Limits struct {
 	RequestsPerSecond       float64
 	WritesPerSecond         float64 // mutations a second
-	ValueKB                 float64 // the largest value
 	MutationsPerTransaction int
 	Members                 int // controllers of this cluster
 }
--- a/internal/shard/bench_test.go
+++ b/internal/shard/bench_test.go
@@ -17,7 +17,7 @@
 	s.Deployment.Workers.Report, s.Deployment.Workers.Lease = 2, 14
 	s.Deployment.State.ValueKB, s.Deployment.State.WriteRPS = 16, 80
 	h := &fakeController{w: w, s: s}
-	h.l = kvstore.New(w, "state", "n0", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, ValueKB: 16, MutationsPerTransaction: 12, Members: 1}, func(string, []byte) {})
+	h.l = kvstore.New(w, "state", "n0", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MutationsPerTransaction: 12, Members: 1}, func(string, []byte) {})
 	p := New(0, 100, h, func() protocol.Condition { return protocol.Condition{Key: "a/o/0", Revision: 7} }, 0)
 	for i := 0; i < machines; i++ {
 		id := fmt.Sprintf("i-%06d", i)
--- a/internal/shard/tenure_test.go
+++ b/internal/shard/tenure_test.go
@@ -73,7 +73,7 @@
 	s.Deployment.Workers.Report, s.Deployment.Workers.Lease = 2, 14
 	s.Deployment.State.ValueKB = 16
 	h := &fakeController{w: w, s: s}
-	h.l = kvstore.New(w, "state", "n0", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, ValueKB: 16, MutationsPerTransaction: 12, Members: 1}, func(string, []byte) {})
+	h.l = kvstore.New(w, "state", "n0", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MutationsPerTransaction: 12, Members: 1}, func(string, []byte) {})
 	p := New(0, 100, h, func() protocol.Condition { return protocol.Condition{Key: "a/o/0", Revision: 7} }, 0)
 	p.UpdateMachine("i-1", &MachineRecord{ID: "i-1", Type: "small", Zone: "a", Address: "w"})
 	m := p.Machines["i-1"]
