--- a/internal/shard/arraypreemption.go
+++ b/internal/shard/arraypreemption.go
@@ -11,75 +11,93 @@
 	"curlewspool/internal/protocol"
 )
 
-// This file stops work of lower ranks for arrays that would be late otherwise. What
-// an array's first task waits for says nothing of its last one: seen on days on which
-// a guest filled all machines with tasks of seven minutes, where some core was always
-// free within a second, arrays of 400 tasks got them one by one, and a third of the
-// members' jobs was late behind work that anybody may stop.
+// This file preempts attempts of lower priorities for arrays that would be late otherwise.
+// What an array's first task waits for says nothing of its last one: seen on days on which
+// one user filled all machines with tasks of seven minutes, where some core was always free
+// within a second, arrays of 400 tasks got them one by one, and a third of the jobs of
+// higher priorities was late behind work that they may preempt.
 
-// maxPreemptedShare bounds what is stopped at a time, as a share of a part's cores: the
-// next pass, half a second later, sees what the first stops gave.
-const maxPreemptedShare = 1.0 / 8
+const (
+	// maxPreemptedShare bounds what is preempted in one pass, as a share of the shard's
+	// cores: the next pass, half a second later, sees what the first preemptions gave.
+	maxPreemptedShare = 1.0 / 8
+	// estimateMargin is by how much tasks are expected to overrun their estimate.
+	estimateMargin = 1.25
+	// overrunShare is the share of its estimate for which an attempt is expected to go on
+	// that has overrun it.
+	overrunShare = 10
+	// costClasses is how many classes of cost per gain are told apart among victims.
+	costClasses = 8
+)
 
-// occupiedSlot is what a run holds and when it gives it back.
+// occupiedSlot is what an attempt holds and when it gives it back.
 type occupiedSlot struct {
 	placement
 	spec   *protocol.Job
 	endsAt time.Duration
 }
 
+// arrayPreemption is the search of one pass for capacity for arrays that would be late.
+type arrayPreemption struct {
+	shard        *Shard
+	now          time.Duration
+	capacities   []*freeCapacity
+	slots        []occupiedSlot
+	bootingCores float64 // see Controller.BootingCores
+	bootSeconds  float64
+	coresLeft    float64 // that may yet be preempted in this pass
+}
+
+// lateArray is an array that may be late.
+type lateArray struct {
+	job         *QueuedJob
+	runtime     time.Duration     // expected, of each task
+	latestStart time.Duration     // of its last task
+	open        map[*Machine]bool // machines that it may use, see openMachines
+}
+
 // preemptForArrays looks at the arrays that wait, in their order, and at all that ends
-// before each must have started; what is lacking is taken from work of lower ranks.
+// before each must have started; what is lacking is preempted from lower priorities.
 func (s *Shard) preemptForArrays(queue []*QueuedJob, capacities []*freeCapacity, now time.Duration) {
-	lowest := s.lowestPreemptibleRank()
-	var slots []occupiedSlot
-	demand := 0.0           // core-seconds of all before, and of this one
-	preemptibleCores := 0.0 // cores that may yet be stopped in this pass
-	bootingCores, bootSeconds := 0.0, 0.0
+	lowest := s.lowestPreemptiblePriority()
+	var search *arrayPreemption
+	demand := 0.0 // core-seconds of all arrays before, and of this one
 	for _, job := range queue {
-		spec := &job.Record.Job
-		if job.idleTasks == 0 || job.isGang() || job.isService() || job.isBorrowed() || job.finishing || job.suspect {
+		if !job.isWaitingArray() {
 			continue
 		}
-		estimate := s.expectedRuntime(spec).Seconds()
-		demand += float64(job.idleTasks) * spec.Cores * estimate
+		spec := &job.Record.Job
+		runtime := s.expectedRuntime(spec)
+		demand += float64(job.idleTasks) * spec.Cores * runtime.Seconds()
 		latestStart, ok := s.latestStart(job, now)
 		if spec.Priority <= lowest || !ok {
 			continue
 		}
-		if slots == nil {
-			slots = s.occupiedSlots(capacities, now)
-			bootingCores, bootSeconds = s.controller.BootingCores()
-			for _, free := range capacities {
-				preemptibleCores += free.machineType.Cores * maxPreemptedShare
-			}
+		if search == nil {
+			search = s.newArrayPreemption(capacities, now)
 		}
-		if len(slots) == 0 || preemptibleCores <= 0 {
-			return // nothing (more) may be stopped
-		}
-		open := s.openMachines(job, capacities, now)
-		bootingSupply := bootingCores * max(0, (latestStart-now).Seconds()-bootSeconds+estimate/2)
-		if shortage := demand - bootingSupply - s.expectedSupply(job, capacities, open, slots, now, latestStart); shortage > 0 {
-			preemptibleCores -= s.preemptForArray(job, open, slots, shortage, preemptibleCores, now, latestStart)
+		if search.isExhausted() {
+			return
 		}
+		search.coverShortage(&lateArray{
+			job:         job,
+			runtime:     runtime,
+			latestStart: latestStart,
+			open:        s.openMachines(job, capacities, now),
+		}, demand)
 	}
 }
 
-// openMachines tells on which machines an array may have what others leave: not on those
-// that are kept for a large job or reserved for the head. (What was stopped there
-// made room only for more of the same: on a day of late boots 16,800 stops in three
-// minutes, for nothing.)
-func (s *Shard) openMachines(job *QueuedJob, capacities []*freeCapacity, now time.Duration) map[*Machine]bool {
-	open := make(map[*Machine]bool, len(capacities))
-	for _, free := range capacities {
-		afterReclaim := free.afterReclaim()
-		open[free.machine] = !free.hasNonSpotJob && now >= job.avoidUntil[free.machine.ID] && s.canRunOn(free.machine, &job.Record.Job) && s.canBackfill(free, &job.Record.Job, now) && !s.headroomBlocks(&afterReclaim, job, now)
+// isWaitingArray tells whether tasks of an array wait that others may be preempted for.
+func (q *QueuedJob) isWaitingArray() bool {
+	if q.idleTasks == 0 || q.finishing || q.suspect {
+		return false
 	}
-	return open
+	return !q.isGang() && !q.isService() && !q.isBorrowed()
 }
 
-// lowestPreemptibleRank is the lowest rank of what may be stopped here.
-func (s *Shard) lowestPreemptibleRank() int {
+// lowestPreemptiblePriority is the lowest priority of what may be preempted here.
+func (s *Shard) lowestPreemptiblePriority() int {
 	lowest := math.MaxInt
 	for _, job := range s.jobsByID() {
 		if job.placedTasks > 0 && !job.isGang() && !job.isService() && !job.isBorrowed() {
@@ -89,111 +107,195 @@
 	return lowest
 }
 
-// latestStart is when the last task of an array must have started for the first
-// deadline that can still be met; a quarter of the estimate is for what estimates
-// miss.
+// latestStart is when the last task of an array must have started for the first deadline
+// that can still be met; false if there is none.
 func (s *Shard) latestStart(job *QueuedJob, now time.Duration) (time.Duration, bool) {
 	spec := &job.Record.Job
-	age := s.controller.WallSeconds() - job.Record.AcceptedAt
-	estimate := s.expectedRuntime(spec).Seconds()
+	age := s.ageOf(job)
+	runtime := s.expectedRuntime(spec).Seconds()
 	for _, deadline := range s.controller.Deadlines(spec) {
-		if slack := deadline - age - 1.25*estimate; slack > 0 {
+		if slack := deadline - age - estimateMargin*runtime; slack > 0 {
 			return now + env.Seconds(slack), true
 		}
 	}
 	return 0, false
 }
 
-// occupiedSlots lists what runs on machines that arrays may use, and until when.
-func (s *Shard) occupiedSlots(capacities []*freeCapacity, now time.Duration) []occupiedSlot {
-	var slots []occupiedSlot
+// openMachines tells on which machines an array may have what others leave: not on those
+// that are kept as headroom for a large job or reserved for the head of the queue. (What
+// was preempted there made room only for more of the same: on a day of late boots 16,800
+// preemptions in three minutes, for nothing.)
+func (s *Shard) openMachines(job *QueuedJob, capacities []*freeCapacity, now time.Duration) map[*Machine]bool {
+	spec := &job.Record.Job
+	open := make(map[*Machine]bool, len(capacities))
 	for _, free := range capacities {
-		if free.hasNonSpotJob {
+		if free.hasNonSpotJob || now < job.avoidUntil[free.machine.ID] {
 			continue
 		}
-		for attempt := range free.machine.AllAttempts() {
-			if job := s.Jobs[attempt.Job]; job != nil && !attempt.HasEnded() {
-				slots = append(slots, occupiedSlot{placement{free.machine, attempt}, &job.Record.Job, s.expectedEnd(attempt, &job.Record.Job, now)})
-			}
+		if !s.canRunOn(free.machine, spec) || !s.canBackfill(free, spec, now) {
+			continue
 		}
+		reclaimed := free.afterReclaim()
+		open[free.machine] = !s.headroomBlocks(&reclaimed, job, now)
 	}
-	return slots
+	return open
 }
 
-// expectedEnd is when a run is expected to give its room back. Overrunning its estimate
-// (DESIGN's weak spot), it is expected to go on for a tenth of it.
+// expectedEnd is when an attempt is expected to give back what it holds. One that overruns
+// its estimate (DESIGN, weak spots) is expected to go on for a tenth of it.
 func (s *Shard) expectedEnd(attempt *agent.Attempt, spec *protocol.Job, now time.Duration) time.Duration {
-	estimate := s.expectedRuntime(spec)
-	end := max(attempt.StartedAt, attempt.PlacedAt) + estimate
+	runtime := s.expectedRuntime(spec)
+	end := max(attempt.StartedAt, attempt.PlacedAt) + runtime
 	if attempt.StopRequested {
 		end = now + env.Seconds(spec.CheckpointDuration)
 	}
-	return max(end, now+estimate/10)
+	return max(end, now+runtime/overrunShare)
 }
 
-// expectedSupply is how many core-seconds there will be for the job up to a time on machines
-// that are up, with one more start on each core at its end.
-func (s *Shard) expectedSupply(job *QueuedJob, capacities []*freeCapacity, open map[*Machine]bool, slots []occupiedSlot, now, latestStart time.Duration) float64 {
-	spec := &job.Record.Job
-	last := s.expectedRuntime(spec).Seconds() / 2
-	sum := 0.0
-	for _, freeOnMachine := range capacities {
-		if !open[freeOnMachine.machine] {
+// newArrayPreemption lists what runs on machines that arrays may use, and what boots.
+func (s *Shard) newArrayPreemption(capacities []*freeCapacity, now time.Duration) *arrayPreemption {
+	search := &arrayPreemption{shard: s, now: now, capacities: capacities}
+	for _, free := range capacities {
+		search.coresLeft += free.machineType.Cores * maxPreemptedShare
+		if !free.hasNonSpotJob {
+			search.slots = append(search.slots, s.occupiedSlots(free.machine, now)...)
+		}
+	}
+	search.bootingCores, search.bootSeconds = s.controller.BootingCores()
+	return search
+}
+
+// occupiedSlots lists what runs on a machine, and until when.
+func (s *Shard) occupiedSlots(machine *Machine, now time.Duration) []occupiedSlot {
+	var slots []occupiedSlot
+	for attempt := range machine.AllAttempts() {
+		job := s.Jobs[attempt.Job]
+		if job == nil || attempt.HasEnded() {
+			continue
+		}
+		spec := &job.Record.Job
+		slots = append(slots, occupiedSlot{
+			placement: placement{machine, attempt},
+			spec:      spec,
+			endsAt:    s.expectedEnd(attempt, spec, now),
+		})
+	}
+	return slots
+}
+
+// isExhausted: nothing, or nothing more, may be preempted in this pass.
+func (a *arrayPreemption) isExhausted() bool { return len(a.slots) == 0 || a.coresLeft <= 0 }
+
+// coverShortage preempts what an array, and the arrays before it, lack of the demand, in
+// core-seconds.
+func (a *arrayPreemption) coverShortage(array *lateArray, demand float64) {
+	shortage := demand - a.bootingSupply(array) - a.expectedSupply(array)
+	if shortage > 0 {
+		a.coresLeft -= a.preemptFor(array, shortage)
+	}
+}
+
+// bootingSupply is how many core-seconds machines that boot will have for an array.
+func (a *arrayPreemption) bootingSupply(array *lateArray) float64 {
+	untilStart := (array.latestStart - a.now).Seconds()
+	return a.bootingCores * max(0, untilStart-a.bootSeconds+array.runtime.Seconds()/2)
+}
+
+// expectedSupply is how many core-seconds there will be for an array up to its latest start
+// on machines that are up, with one more start on each core at its end.
+func (a *arrayPreemption) expectedSupply(array *lateArray) float64 {
+	spec := &array.job.Record.Job
+	lastStart := array.runtime.Seconds() / 2
+	supply := 0.0
+	for _, free := range a.capacities {
+		if !array.open[free.machine] {
 			continue
 		}
-		free := protocol.MachineType{Cores: freeOnMachine.cores, GPUs: freeOnMachine.gpus, MemoryGB: freeOnMachine.memory}
-		sum += float64(free.TasksThatFit(spec, job.idleTasks)) * spec.Cores * ((latestStart - now).Seconds() + last)
+		tasks := free.asMachineType().TasksThatFit(spec, array.job.idleTasks)
+		supply += float64(tasks) * spec.Cores * ((array.latestStart - a.now).Seconds() + lastStart)
 	}
-	for _, slot := range slots {
-		if slot.endsAt < latestStart && open[slot.machine] {
-			sum += slot.spec.Cores * ((latestStart - slot.endsAt).Seconds() + last)
+	for _, slot := range a.slots {
+		if slot.endsAt < array.latestStart && array.open[slot.machine] {
+			supply += slot.spec.Cores * ((array.latestStart - slot.endsAt).Seconds() + lastStart)
 		}
 	}
-	return sum
+	return supply
 }
 
-// preemptForArray stops runs of lower ranks until so many core-seconds are won, those first
-// that lose least for what they give. It gives the cores it stopped.
-func (s *Shard) preemptForArray(job *QueuedJob, open map[*Machine]bool, slots []occupiedSlot, shortage, maxCores float64, now, latestStart time.Duration) float64 {
-	spec := &job.Record.Job
-	type victim struct {
-		occupiedSlot
-		won, lost float64
+// preemptFor preempts attempts of lower priorities until a shortage, in core-seconds, is
+// covered: those first that cost least for what they give. It gives the cores preempted.
+func (a *arrayPreemption) preemptFor(array *lateArray, shortage float64) float64 {
+	victims := a.victimsFor(array)
+	a.sortVictims(victims)
+	spec := &array.job.Record.Job
+	preempted, count := 0.0, 0
+	for i := range victims {
+		if shortage <= 0 || preempted >= a.coresLeft {
+			break
+		}
+		victim := &victims[i]
+		a.shard.stopAttempt(a.shard.Jobs[victim.attempt.Job], &victim.placement, "preempted by "+spec.ID)
+		shortage -= victim.gain
+		preempted += victim.spec.Cores
+		count++
+	}
+	if count > 0 {
+		slog.Info("shard: attempts preempted for array", "shard", a.shard.ID, "job", spec.ID, "attempts", count, "cores", preempted,
+			"shortage", max(0, shortage), "latest_start", (array.latestStart - a.now).Seconds())
 	}
+	return preempted
+}
+
+// victim is an attempt that may be preempted; gain and cost are in core-seconds.
+type victim struct {
+	occupiedSlot
+	gain, cost float64
+}
+
+// victimsFor lists the attempts that may be preempted for an array and that give more than
+// they cost.
+func (a *arrayPreemption) victimsFor(array *lateArray) []victim {
 	var victims []victim
-	for _, slot := range slots {
-		if slot.spec.Priority >= spec.Priority || slot.attempt.StopRequested || slot.attempt.Orphaned || slot.spec.Shape != protocol.ShapeArray || !open[slot.machine] || s.isPreemptionProtected(s.Jobs[slot.attempt.Job], now) {
+	for _, slot := range a.slots {
+		if !array.open[slot.machine] || !a.isPreemptible(slot, array.job.Record.Job.Priority) {
 			continue
 		}
 		save := 0.0
 		if slot.attempt.StartedAt > 0 && slot.spec.CheckpointInterval > 0 {
 			save = slot.spec.CheckpointDuration
 		}
-		won := ((min(slot.endsAt, latestStart) - now).Seconds() - save) * slot.spec.Cores
-		if lost := preemptionCost(slot.attempt, slot.spec, now); won > 0 && lost < won {
-			victims = append(victims, victim{slot, won, lost})
+		held := (min(slot.endsAt, array.latestStart) - a.now).Seconds()
+		gain := (held - save) * slot.spec.Cores
+		cost := preemptionCost(slot.attempt, slot.spec, a.now)
+		if gain > 0 && cost < gain {
+			victims = append(victims, victim{occupiedSlot: slot, gain: gain, cost: cost})
 		}
 	}
-	// Of those that lose about the same, the youngest job's: if each job loses some,
-	// none of them ends. (A guest's jobs done were one of six instead of three.)
-	sort.SliceStable(victims, func(a, b int) bool {
-		if x, y := math.Round(8*victims[a].lost/victims[a].won), math.Round(8*victims[b].lost/victims[b].won); x != y {
-			return x < y
-		}
-		return s.Jobs[victims[a].attempt.Job].Record.AcceptedAt > s.Jobs[victims[b].attempt.Job].Record.AcceptedAt
-	})
-	stopped, count := 0.0, 0
-	for _, victim := range victims {
-		if shortage <= 0 || stopped >= maxCores {
-			break
-		}
-		s.stopAttempt(s.Jobs[victim.attempt.Job], &victim.placement, "preempted by "+spec.ID)
-		shortage -= victim.won
-		stopped += victim.spec.Cores
-		count++
+	return victims
+}
+
+// isPreemptible tells whether an attempt may be preempted for an array of a priority.
+func (a *arrayPreemption) isPreemptible(slot occupiedSlot, priority int) bool {
+	if slot.spec.Priority >= priority || slot.spec.Shape != protocol.ShapeArray {
+		return false
 	}
-	if count > 0 {
-		slog.Info("part: room is made for an array", "part", s.ID, "job", spec.ID, "stopped", count, "cores", stopped, "short", max(0, shortage), "by", (latestStart - now).Seconds())
+	if slot.attempt.StopRequested || slot.attempt.Orphaned {
+		return false
 	}
-	return stopped
+	return !a.shard.isPreemptionProtected(a.shard.Jobs[slot.attempt.Job], a.now)
+}
+
+// sortVictims puts those first that cost least for what they give. Of those that cost about
+// the same, the youngest job's: if each job loses some tasks, none of them ends. (One of
+// six jobs of the lowest priority was done instead of three.)
+func (a *arrayPreemption) sortVictims(victims []victim) {
+	costClass := func(v *victim) float64 { return math.Round(costClasses * v.cost / v.gain) }
+	acceptedAt := func(v *victim) float64 { return a.shard.Jobs[v.attempt.Job].Record.AcceptedAt }
+	sort.SliceStable(victims, func(i, k int) bool {
+		first, second := &victims[i], &victims[k]
+		if costClass(first) != costClass(second) {
+			return costClass(first) < costClass(second)
+		}
+		return acceptedAt(first) > acceptedAt(second)
+	})
 }
--- a/internal/shard/cost.go
+++ b/internal/shard/cost.go
@@ -7,13 +7,15 @@
 	"strings"
 	"time"
 
+	"curlewspool/internal/agent"
 	"curlewspool/internal/protocol"
 )
 
-// CostByCause is money by what it was paid for, in the catalog's unit.
+// CostByCause is money by what it was paid for, in the catalog's unit. Its keys are the
+// causes below and the autoscaler's, for machines that boot.
 type CostByCause map[string]float64
 
-// String lists it by cause.
+// String lists the causes by name.
 func (c CostByCause) String() string {
 	var entries []string
 	for _, cause := range slices.Sorted(maps.Keys(c)) {
@@ -24,17 +26,18 @@
 
 // Causes for which a machine that is up is paid.
 const (
-	CostRunning   = "ran"      // tasks that run
-	CostStarting  = "fetched"  // tasks that have not begun: images, orders on their way
-	CostStopping  = "stopping" // tasks that were told to stop
-	CostReserved  = "reserved" // free room, for the head
-	CostReturning = "leaving"  // free room of a machine that goes back
-	CostSuspect   = "doubted"  // free room of a machine that is likely sick, or silent
-	CostIdle      = "idle"     // other free room
+	CostRunning   = "ran"      // attempts that run
+	CostStarting  = "fetched"  // attempts that have not begun: images, orders on their way
+	CostStopping  = "stopping" // attempts that were asked to stop
+	CostReserved  = "reserved" // free capacity, for the head of the queue
+	CostReturning = "leaving"  // free capacity of a machine that is being returned
+	CostSuspect   = "doubted"  // free capacity of a machine that is suspect or silent
+	CostIdle      = "idle"     // other free capacity
 )
 
-// AddCost adds what the part's machines cost in a time, by cause: each core's share of
-// the machine's price by what it does now. Boots are the leader's to count.
+// AddCost adds to a total what the shard's machines cost in a time, by cause: each core's
+// share of the machine's price by what it does now. Machines that boot are the
+// autoscaler's to count.
 func (s *Shard) AddCost(elapsed time.Duration, total CostByCause) {
 	now := s.controller.Now()
 	for _, machine := range s.machinesByID() {
@@ -49,26 +52,35 @@
 			if job == nil || attempt.HasEnded() {
 				continue
 			}
-			cause := CostRunning
-			switch {
-			case attempt.StopRequested || attempt.State == protocol.TaskCheckpointing:
-				cause = CostStopping
-			case attempt.StartedAt == 0:
-				cause = CostStarting
-			}
 			cores := min(job.Record.Job.Cores, idleCores)
-			total[cause] += price * cores / machineType.Cores
+			total[attemptCostCause(attempt)] += price * cores / machineType.Cores
 			idleCores -= cores
 		}
-		cause := CostIdle
-		switch {
-		case machine.retireReason != "" || machine.draining || machine.PreemptionNoticed:
-			cause = CostReturning
-		case machine.suspect || !machine.Reconciled || !machine.IsReachable() || now-machine.LastContact > 2*s.reportInterval():
-			cause = CostSuspect
-		case machine.reservation != nil:
-			cause = CostReserved
-		}
-		total[cause] += price * idleCores / machineType.Cores
+		total[s.idleCostCause(machine, now)] += price * idleCores / machineType.Cores
+	}
+}
+
+// attemptCostCause is the cause for which the cores of an attempt are paid.
+func attemptCostCause(attempt *agent.Attempt) string {
+	switch {
+	case attempt.StopRequested || attempt.State == protocol.TaskCheckpointing:
+		return CostStopping
+	case attempt.StartedAt == 0:
+		return CostStarting
+	}
+	return CostRunning
+}
+
+// idleCostCause is the cause for which the free cores of a machine are paid.
+func (s *Shard) idleCostCause(machine *Machine, now time.Duration) string {
+	isSilent := now-machine.LastContact > 2*s.reportInterval()
+	switch {
+	case machine.retireReason != "" || machine.draining || machine.PreemptionNoticed:
+		return CostReturning
+	case machine.suspect || !machine.Reconciled || !machine.IsReachable() || isSilent:
+		return CostSuspect
+	case machine.reservation != nil:
+		return CostReserved
 	}
+	return CostIdle
 }
--- a/internal/shard/freecapacity.go
+++ b/internal/shard/freecapacity.go
@@ -1,80 +1,127 @@
 package shard
 
 import (
+	"slices"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
-// This file works out what is free on machines, and which may take a job.
+// missedHeartbeats is after how many report intervals without a heartbeat a machine gets
+// no more tasks.
+const missedHeartbeats = 3
 
-// freeCapacity is what is free on a machine during one pass.
+// freeCapacity is what is free on a machine during one scheduling pass, with what the
+// pass has reserved of it for the head of the queue.
 type freeCapacity struct {
-	machine               *Machine
-	machineType           *protocol.MachineType
-	cores, gpus, memory   float64
-	isReserved            bool
-	placementCost         float64       // of the job looked at
-	reservedFrom          time.Duration // when the head is to start here
-	spareCores, spareGPUs float64       // what the head leaves at that time
-	spareMemory           float64
-	// held by work of the lowest rank that loses nothing when it is stopped
-	reclaimableCores, reclaimableGPUs, reclaimableMemory float64
-	hasUnknownJob                                        bool // a run is of a job that is over: it goes soon
-	hasNonSpotJob                                        bool // a run is of a job that spot machines do not do for
+	resources // free now
+
+	machine     *Machine
+	machineType *protocol.MachineType
+
+	isReserved   bool
+	reservedFrom time.Duration // when the head of the queue is to start here
+	spare        resources     // what the head leaves at that time
+
+	// reclaimable is held by attempts of the lowest priority that can save a checkpoint:
+	// they lose nothing when they are preempted.
+	reclaimable   resources
+	hasUnknownJob bool // an attempt is of a job that has ended: it goes soon
+	hasNonSpotJob bool // an attempt is of a job that may not run on spot instances
+
+	placementCost float64 // seconds, of the job being placed; see Shard.placementCost
 }
 
-const epsilon = 1e-9
+// reserve keeps the machine for the head of the queue from a time on, but for what
+// the head leaves then.
+func (f *freeCapacity) reserve(from time.Duration, spare resources) {
+	f.isReserved = true
+	f.reservedFrom = from
+	f.spare = spare
+}
 
-func (f *freeCapacity) fits(spec *protocol.Job) bool {
-	return f.cores+epsilon >= spec.Cores && f.gpus+epsilon >= spec.GPUs && f.memory+epsilon >= spec.MemoryGB
+// claim takes the resources of one task, also of what the head leaves.
+func (f *freeCapacity) claim(spec *protocol.Job) {
+	f.subtract(spec)
+	f.spare.subtract(spec)
 }
 
-func (f *freeCapacity) subtract(spec *protocol.Job) {
-	f.cores -= spec.Cores
-	f.gpus -= spec.GPUs
-	f.memory -= spec.MemoryGB
+// unclaim gives back what claim took.
+func (f *freeCapacity) unclaim(spec *protocol.Job) {
+	f.add(spec)
+	f.spare.add(spec)
 }
 
-func contains(list []string, value string) bool {
-	for _, element := range list {
-		if element == value {
-			return true
-		}
-	}
-	return false
+// afterReclaim is the capacity once all that may be preempted without loss is.
+func (f *freeCapacity) afterReclaim() freeCapacity {
+	reclaimed := *f
+	reclaimed.resources = f.plus(&f.reclaimable)
+	reclaimed.reclaimable = resources{}
+	return reclaimed
+}
+
+// fitsAfterReclaim tells whether a task could start now, or could once all that may be
+// preempted without loss is.
+func (f *freeCapacity) fitsAfterReclaim(spec *protocol.Job) bool {
+	available := f.plus(&f.reclaimable)
+	return available.fits(spec)
 }
 
-// CanRunOn tells whether a job may run on machines of a type, zone and kind.
+// CanRunOn tells whether a job may run on machines of a type, in a zone, that are spot
+// instances or not.
 func CanRunOn(spec *protocol.Job, machineType *protocol.MachineType, zone string, isSpot bool) bool {
-	return machineType != nil && (spec.MachineTypes == nil || contains(spec.MachineTypes, machineType.Name)) && (spec.Zone == "" || spec.Zone == zone) &&
-		(!isSpot || spec.AllowSpot) && spec.Cores <= machineType.Cores && spec.GPUs <= machineType.GPUs && spec.MemoryGB <= machineType.MemoryGB
+	switch {
+	case machineType == nil:
+		return false
+	case spec.MachineTypes != nil && !slices.Contains(spec.MachineTypes, machineType.Name):
+		return false
+	case spec.Zone != "" && spec.Zone != zone:
+		return false
+	case isSpot && !spec.AllowSpot:
+		return false
+	}
+	return spec.Cores <= machineType.Cores &&
+		spec.GPUs <= machineType.GPUs &&
+		spec.MemoryGB <= machineType.MemoryGB
 }
 
+// canRunOn tells whether a job may run on a machine once it is empty.
 func (s *Shard) canRunOn(machine *Machine, spec *protocol.Job) bool {
 	return CanRunOn(spec, s.controller.MachineType(machine.Type), machine.Zone, machine.Spot)
 }
 
-// acceptsTasks tells whether a machine may get more to do.
+// acceptsTasks tells whether more tasks may be placed on a machine.
 func (s *Shard) acceptsTasks(machine *Machine, now time.Duration) bool {
-	return machine.Reconciled && machine.IsReachable() && machine.Incarnation > 0 && !machine.handingOver && !machine.draining && now >= machine.lentUntil && machine.retireReason == "" && !machine.PreemptionNoticed && now >= machine.fullUntil &&
-		now-machine.LastHeartbeat < 3*s.reportInterval()
+	switch {
+	case !machine.Reconciled || !machine.IsReachable() || machine.Incarnation == 0:
+		return false
+	case machine.handingOver || machine.draining || machine.retireReason != "" || machine.PreemptionNoticed:
+		return false
+	case now < machine.lentUntil || now < machine.fullUntil:
+		return false
+	}
+	return now-machine.LastHeartbeat < missedHeartbeats*s.reportInterval()
 }
 
+// freeCapacities lists what is free on the machines that accept tasks, by machine ID. The
+// caller may change what it gets.
 func (s *Shard) freeCapacities(now time.Duration) []*freeCapacity {
 	capacities := make([]*freeCapacity, 0, len(s.Machines))
 	slab := make([]freeCapacity, len(s.Machines))
 	for _, machine := range s.machinesByID() {
-		if free := s.freeCapacityOf(machine, now); free != nil {
-			slab[len(capacities)] = *free
-			capacities = append(capacities, &slab[len(capacities)])
+		free := s.freeCapacityOf(machine, now)
+		if free == nil {
+			continue
 		}
+		entry := &slab[len(capacities)]
+		*entry = *free
+		capacities = append(capacities, entry)
 	}
 	return capacities
 }
 
-// freeCapacityOf works out what is free on a machine, if it may get more to do, anew
-// only after its runs changed. The caller changes a copy only.
+// freeCapacityOf is what is free on a machine; nil if it accepts no tasks. It is worked
+// out anew only after the machine's attempts changed: the caller may change a copy only.
 func (s *Shard) freeCapacityOf(machine *Machine, now time.Duration) *freeCapacity {
 	machineType := s.controller.MachineType(machine.Type)
 	if machineType == nil || !s.acceptsTasks(machine, now) || machine.isOnProbation(now) {
@@ -83,27 +130,38 @@
 	free := &machine.free
 	if machine.freeVersion != machine.Version || free.machineType != machineType {
 		machine.freeVersion = machine.Version
-		*free = freeCapacity{machine: machine, machineType: machineType, cores: machineType.Cores, gpus: machineType.GPUs, memory: machineType.MemoryGB}
-		for _, attempt := range machine.Attempts {
-			if attempt.HasEnded() {
-				continue
-			}
-			job := s.Jobs[attempt.Job]
-			if job == nil {
-				free.hasUnknownJob = true
-				continue
-			}
-			free.subtract(&job.Record.Job)
-			free.hasNonSpotJob = free.hasNonSpotJob || !job.Record.Job.AllowSpot
-			if job.Record.Job.Priority <= 0 && job.Record.Job.CheckpointInterval > 0 {
-				free.reclaimableCores += job.Record.Job.Cores
-				free.reclaimableGPUs += job.Record.Job.GPUs
-				free.reclaimableMemory += job.Record.Job.MemoryGB
-			}
-		}
+		*free = s.computeFreeCapacity(machine, machineType)
 	}
 	if free.hasUnknownJob {
 		return nil
 	}
 	return free
 }
+
+// computeFreeCapacity subtracts a machine's attempts from its size.
+func (s *Shard) computeFreeCapacity(machine *Machine, machineType *protocol.MachineType) freeCapacity {
+	free := freeCapacity{
+		resources:   resources{cores: machineType.Cores, gpus: machineType.GPUs, memory: machineType.MemoryGB},
+		machine:     machine,
+		machineType: machineType,
+	}
+	for _, attempt := range machine.Attempts {
+		if attempt.HasEnded() {
+			continue
+		}
+		job := s.Jobs[attempt.Job]
+		if job == nil {
+			free.hasUnknownJob = true
+			continue
+		}
+		spec := &job.Record.Job
+		free.subtract(spec)
+		if !spec.AllowSpot {
+			free.hasNonSpotJob = true
+		}
+		if spec.Priority <= 0 && spec.CheckpointInterval > 0 {
+			free.reclaimable.add(spec)
+		}
+	}
+	return free
+}
--- a/internal/shard/job.go
+++ b/internal/shard/job.go
@@ -228,7 +228,7 @@
 	failedProbes      int                      // of them, that failed since
 	avoidUntil        map[string]time.Duration // machines not to be used before
 	notBefore         time.Duration            // start nothing before
-	waitReason        string                   // why it waits, for operators
+	waitReason        WaitReason               // why it waits, for operators
 	score             float64
 	expectedStart     time.Duration       // when it is expected to start, if it is reserved for
 	permit            *remotelease.Permit // borrowed: until when its home lets it run
--- a/internal/shard/loan.go
+++ b/internal/shard/loan.go
@@ -264,7 +264,7 @@
 func CountFitting(controller Controller, spec *protocol.Job, room *peermsg.FreeCapacity, beside bool) int {
 	machineType := controller.MachineType(room.Type)
 	if !CanRunOn(spec, machineType, room.Zone, room.Spot) || beside && headroomBlocks(controller, &freeCapacity{machine: &Machine{Machine: &agent.Machine{Zone: room.Zone, Spot: room.Spot}, record: MachineRecord{Owned: room.Permanent}}, machineType: machineType,
-		cores: room.Cores, gpus: room.Gpus, memory: room.MemoryGb}, spec) {
+		resources: resources{cores: room.Cores, gpus: room.Gpus, memory: room.MemoryGb}}, spec) {
 		return 0
 	}
 	return (&protocol.MachineType{Cores: room.Cores, GPUs: room.Gpus, MemoryGB: room.MemoryGb}).TasksThatFit(spec, spec.Tasks)
--- a/internal/shard/moves.go
+++ b/internal/shard/moves.go
@@ -61,7 +61,7 @@
 			continue // for the head; the others are free for what does not delay it
 		}
 		out.FreeCapacity = append(out.FreeCapacity, &peermsg.FreeCapacity{Type: r.machine.Type, Zone: r.machine.Zone, Spot: r.machine.Spot, Cores: r.cores, Gpus: r.gpus, MemoryGb: r.memory,
-			Machine: r.machine.ID, Empty: len(r.machine.Attempts) == 0, Permanent: r.machine.record.Owned, Reclaimable: r.cores+r.reclaimableCores >= r.machineType.Cores-epsilon})
+			Machine: r.machine.ID, Empty: len(r.machine.Attempts) == 0, Permanent: r.machine.record.Owned, Reclaimable: r.cores+r.reclaimable.cores >= r.machineType.Cores-epsilon})
 	}
 	slog.Debug("part: status", "part", s.ID, "machines", len(s.Machines), "jobs", len(s.Jobs), "queued", queued, "free", out.FreeCapacity, "head", s.headJob != nil)
 	return out, gaps
@@ -106,7 +106,7 @@
 	if score := &s.controller.Settings().Score; s.tasksNeededTogether(spec) == 0 || s.lateStartBoost(job, s.controller.WallSeconds()-job.Record.AcceptedAt) < score.BeginWeight {
 		return 0
 	}
-	if c, g := s.remainingTeamQuota(spec.Team); c < spec.Cores || g < spec.GPUs {
+	if !s.remainingTeamQuota(spec.Team).allowsTask(spec) {
 		return 0
 	}
 	return s.shortfall(spec, func(machine *Machine) int {
@@ -114,7 +114,7 @@
 		if r == nil || s.unfitForGang(machine, job, now) {
 			return 0
 		}
-		return max(0, (&protocol.MachineType{Cores: r.cores, GPUs: r.gpus, MemoryGB: r.memory}).TasksThatFit(spec, spec.Tasks))
+		return max(0, r.asMachineType().TasksThatFit(spec, spec.Tasks))
 	})
 }
 
@@ -308,7 +308,7 @@
 	out := map[string]string{}
 	for id, w := range s.Jobs {
 		if w.idleTasks > 0 {
-			out[id] = w.waitReason
+			out[id] = string(w.waitReason)
 		}
 	}
 	return out
--- /dev/null
+++ b/internal/shard/placement.go
@@ -0,0 +1,248 @@
+package shard
+
+import (
+	"log/slog"
+	"maps"
+	"sort"
+	"time"
+
+	"curlewspool/internal/agent"
+	"curlewspool/internal/env"
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+)
+
+// Weights of placementCost.
+const (
+	// spotLossShare is the share of an attempt that is reckoned as lost on spot instances
+	// by a job that saves no checkpoints: enough to choose an on-demand machine that is
+	// there anyway, not one that could be returned.
+	spotLossShare = 0.1
+	// rentedUseCost is what use of a rented on-demand machine costs a job that could run on
+	// spot instances, in report intervals: the machine can't be returned meanwhile.
+	rentedUseCost = 5
+	// machineSizeCost is the cost of each core that a machine has, in seconds.
+	machineSizeCost = 0.01
+)
+
+// protectedShare is the share of score.begin for which a job that started late is not
+// preempted.
+const protectedShare = 8
+
+// attemptBits is the number of low bits of an attempt number that count attempts under one
+// fencing token.
+const attemptBits = 20
+
+// startTasks starts as many tasks of a job as fit; true if none of it is left waiting.
+func (s *Shard) startTasks(job *QueuedJob, capacities []*freeCapacity, now time.Duration) bool {
+	spec := &job.Record.Job
+	wanted := s.remainingTeamQuota(spec.Team).limitTasks(spec, job.idleTasks)
+	if job.suspect && !job.isGang() {
+		wanted = min(wanted, 1)
+	}
+	if wanted <= 0 || job.isGang() && wanted < spec.Tasks {
+		job.waitReason = waitTeamLimit
+		return false
+	}
+	candidates := s.placementCandidates(job, capacities, now)
+	if len(candidates) == 0 {
+		job.waitReason = waitNoCapacity
+		return false
+	}
+	planner := newPlacementPlanner(s, job, candidates, wanted, now)
+	plan := planner.plan()
+	if len(plan) == 0 || job.isGang() && len(plan) < spec.Tasks {
+		job.waitReason = waitNoCapacityForGang
+		return false
+	}
+	s.placeTasks(job, plan, now)
+	slog.Debug("shard: tasks placed", "shard", s.ID, "job", spec.ID, "tasks", len(plan), "waiting", job.idleTasks)
+	job.waitReason = waitMoreCapacity
+	return job.idleTasks == 0
+}
+
+// placementCandidates lists the machines on which a task of a job may start now, the one
+// that costs least first.
+func (s *Shard) placementCandidates(job *QueuedJob, capacities []*freeCapacity, now time.Duration) []*freeCapacity {
+	spec := &job.Record.Job
+	candidates := make([]*freeCapacity, 0, len(capacities))
+	for _, free := range capacities {
+		if !free.fits(spec) || s.unfitForGang(free.machine, job, now) || now < job.avoidUntil[free.machine.ID] {
+			continue
+		}
+		if s.canRunOn(free.machine, spec) && s.mayUse(free, job, now) {
+			candidates = append(candidates, free)
+		}
+	}
+	for _, free := range candidates {
+		free.placementCost = s.placementCost(free, spec)
+	}
+	sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].placementCost < candidates[b].placementCost })
+	return candidates
+}
+
+// mayUse tells whether a job may use what is free on a machine: neither the head of the
+// queue is delayed by it, nor headroom for large jobs cut up.
+func (s *Shard) mayUse(free *freeCapacity, job *QueuedJob, now time.Duration) bool {
+	return s.canBackfill(free, &job.Record.Job, now) && !s.headroomBlocks(free, job, now)
+}
+
+// placementCost orders the machines for a task, in seconds: the time to fetch the image,
+// and small preferences for spot instances, for small machines and for ones that are in
+// use already.
+func (s *Shard) placementCost(free *freeCapacity, spec *protocol.Job) float64 {
+	cost := s.imageFetchTime(free, spec).Seconds()
+	report := s.controller.Settings().Deployment.Workers.Report
+	switch {
+	case !spec.AllowSpot:
+	case !free.machine.Spot && !free.machine.record.Owned:
+		cost += rentedUseCost * report
+	case free.machine.Spot && spec.CheckpointInterval <= 0:
+		cost += spotLossShare * spec.Estimate
+	}
+	if free.cores >= free.machineType.Cores {
+		cost += report
+	}
+	cost += report * free.cores / (free.machineType.Cores + 1)
+	return cost + machineSizeCost*free.machineType.Cores
+}
+
+// placementPlanner chooses machines for tasks of one job.
+type placementPlanner struct {
+	shard        *Shard
+	job          *QueuedJob
+	candidates   []*freeCapacity // the one that costs least first
+	wanted       int             // at most so many tasks
+	now          time.Duration
+	placedInZone map[string]int // tasks of the job that are placed already
+}
+
+func newPlacementPlanner(s *Shard, job *QueuedJob, candidates []*freeCapacity, wanted int, now time.Duration) *placementPlanner {
+	planner := &placementPlanner{
+		shard:        s,
+		job:          job,
+		candidates:   candidates,
+		wanted:       wanted,
+		now:          now,
+		placedInZone: map[string]int{},
+	}
+	if job.Record.Job.SpreadZones {
+		for _, placed := range job.placements {
+			planner.placedInZone[placed.machine.Zone]++
+		}
+	}
+	return planner
+}
+
+// plan gives the machine of each task that can start, and takes the resources. For a gang
+// it gives all tasks wanted or none; for a job in a single zone, those of the zone that
+// takes most of them.
+func (p *placementPlanner) plan() []*freeCapacity {
+	if !p.job.Record.Job.SingleZone {
+		plan := p.claimInZone("")
+		if p.job.isGang() && len(plan) < p.wanted {
+			p.unclaim(plan)
+			return nil
+		}
+		return plan
+	}
+	bestZone, most := "", 0
+	for _, zone := range p.zones() {
+		plan := p.claimInZone(zone)
+		p.unclaim(plan)
+		if len(plan) > most {
+			bestZone, most = zone, len(plan)
+		}
+	}
+	if most == 0 || p.job.isGang() && most < p.wanted {
+		return nil
+	}
+	return p.claimInZone(bestZone)
+}
+
+// zones lists the zones in which a job in a single zone may start tasks: the one that it
+// is in already or, before, any.
+func (p *placementPlanner) zones() []string {
+	if zone := p.job.placedZone(); zone != "" {
+		return []string{zone}
+	}
+	return candidateZones(&p.job.Record.Job, p.candidates)
+}
+
+// claimInZone takes the resources of as many tasks as can start in a zone (an empty name:
+// in all of them) and gives the machine of each.
+func (p *placementPlanner) claimInZone(zone string) []*freeCapacity {
+	spec := &p.job.Record.Job
+	var plan []*freeCapacity
+	tasksInZone := maps.Clone(p.placedInZone)
+	for _, free := range p.candidates {
+		machineZone := free.machine.Zone
+		if zone != "" && machineZone != zone {
+			continue
+		}
+		limit := p.wanted - len(plan)
+		if free.machine.suspect {
+			limit = min(limit, 1) // see suspects.go
+		}
+		if spec.SpreadZones {
+			limit = min(limit, MaxPerZone(spec)-tasksInZone[machineZone])
+		}
+		for count := 0; count < limit && free.fits(spec) && p.shard.mayUse(free, p.job, p.now); count++ {
+			free.claim(spec)
+			tasksInZone[machineZone]++
+			plan = append(plan, free)
+		}
+	}
+	return plan
+}
+
+// unclaim gives back what claimInZone took.
+func (p *placementPlanner) unclaim(plan []*freeCapacity) {
+	for _, free := range plan {
+		free.unclaim(&p.job.Record.Job)
+	}
+}
+
+// placeTasks places the next tasks of a job on the machines of a plan. They are launched
+// once the job's record names the machines.
+func (s *Shard) placeTasks(job *QueuedJob, plan []*freeCapacity, now time.Duration) {
+	spec := &job.Record.Job
+	if job.isGang() || job.gangAttempt == 0 {
+		job.gangAttempt = s.nextAttemptNumber()
+	}
+	if s.lateStartBoost(job, s.ageOf(job)) > 0 {
+		protection := env.Seconds(s.controller.Settings().Score.Begin / protectedShare)
+		job.protectedUntil = now + protection + s.imageFetchTime(plan[0], spec)
+	}
+	job.lastStartedAt = now
+	for i, index := range job.nextIdleTasks(s.ID, len(plan)) {
+		number := s.nextAttemptNumber()
+		if job.isGang() {
+			number = job.gangAttempt
+		}
+		s.placeTask(job, index, number, plan[i].machine, now)
+	}
+	if job.hasHeldAttempts && !job.uncertain {
+		s.queueProgressWrite(job, kvstore.PriorityNormal)
+	}
+	for _, free := range plan {
+		s.sendOrdersIfDue(free.machine)
+	}
+}
+
+// placeTask places one task on a machine, held back until the job's record names it.
+func (s *Shard) placeTask(job *QueuedJob, index int, number uint64, machine *Machine, now time.Duration) {
+	task := agent.TaskID{Job: job.Record.Job.ID, Index: index}
+	needsRecord := !job.recordCovers(machine.ID)
+	attempt := machine.Place(task, number, needsRecord, now)
+	attempt.Permit = job.permit
+	job.placements[task] = &placement{machine, attempt}
+	job.setTaskState(index, taskPlaced)
+	job.hasHeldAttempts = job.hasHeldAttempts || needsRecord
+}
+
+// nextAttemptNumber is higher than that of all attempts before, of any owner.
+func (s *Shard) nextAttemptNumber() uint64 {
+	s.attemptCounter++
+	return s.FencingToken<<attemptBits + s.attemptCounter
+}
--- a/internal/shard/reservation.go
+++ b/internal/shard/reservation.go
@@ -1,120 +1,135 @@
 package shard
 
 import (
-	"math"
+	"slices"
 	"sort"
 	"time"
 
-	"curlewspool/internal/agent"
 	"curlewspool/internal/protocol"
 )
 
-// This file reserves room for the head, and stops others for it.
+// startOption says that on one machine a number of the head's tasks can start together
+// from a time on.
+type startOption struct {
+	capacity  *freeCapacity
+	startsAt  time.Duration
+	tasks     int
+	available resources // free at that time, before these tasks take theirs
+}
+
+// headReservation is where and when the head of the queue can start at the earliest.
+type headReservation struct {
+	startsAt time.Duration
+	options  map[*freeCapacity]startOption
+}
+
+// release is an attempt that ends and gives back what it holds.
+type release struct {
+	endsAt time.Duration
+	spec   *protocol.Job
+}
 
-// reserveForHead finds where the head can start at the earliest and marks it; work
-// of lower priority is stopped if that lets it start now.
+// reserveForHead reserves the machines on which the head of the queue can start at the
+// earliest (EASY backfilling; DESIGN, "The head job is reserved"; paper, section 4).
+// Attempts of lower priorities are preempted instead if it would start too late. It is
+// false if no machines of the shard can ever take the job.
 func (s *Shard) reserveForHead(job *QueuedJob, capacities []*freeCapacity, now time.Duration) bool {
 	spec := &job.Record.Job
-	need := 1
+	request := preemptionRequest{job: job, tasks: 1, now: now}
 	if job.isGang() {
-		need = spec.Tasks
+		request.tasks = spec.Tasks
 	}
-	type option struct {
-		r    *freeCapacity
-		at   time.Duration
-		n    int
-		c, g float64
-		mem  float64
+	options := s.startOptions(job, capacities, request.tasks, now)
+	reservation := earliestReservation(spec, options, candidateZones(spec, capacities), request.tasks, now)
+	if reservation == nil {
+		return s.preempt(request, capacities)
 	}
-	var options []option
-	for _, r := range capacities {
-		if !s.canRunOn(r.machine, spec) || now < job.avoidUntil[r.machine.ID] || r.machine.suspect {
-			continue
-		}
-		type end struct {
-			at  time.Duration
-			job *protocol.Job
-		}
-		var ends []end
-		for _, run := range r.machine.Attempts {
-			o := s.Jobs[run.Job]
-			if run.HasEnded() || o == nil {
-				continue
-			}
-			ends = append(ends, end{s.expectedEnd(run, &o.Record.Job, now), &o.Record.Job})
-		}
-		sort.Slice(ends, func(a, b int) bool { return ends[a].at < ends[b].at })
-		c, g, mem, at := r.cores, r.gpus, r.memory, now
-		for k := 0; ; k++ {
-			n := 0
-			for n < need && c-float64(n)*spec.Cores+epsilon >= spec.Cores && g-float64(n)*spec.GPUs+epsilon >= spec.GPUs && mem-float64(n)*spec.MemoryGB+epsilon >= spec.MemoryGB {
-				n++
-			}
-			if n > 0 && (len(options) == 0 || options[len(options)-1].r != r || n > options[len(options)-1].n) {
-				options = append(options, option{r, at, n, c, g, mem})
-			}
-			if n >= need || k >= len(ends) {
-				break
-			}
-			c += ends[k].job.Cores
-			g += ends[k].job.GPUs
-			mem += ends[k].job.MemoryGB
-			at = ends[k].at
-		}
+	job.expectedStart = reservation.startsAt
+	if s.preemptForHead(request, reservation, capacities) {
+		return true
 	}
-	sort.SliceStable(options, func(a, b int) bool { return options[a].at < options[b].at })
-	// The earliest moment at which enough is free, in one zone if it must be.
-	var best map[*freeCapacity]option
-	var start time.Duration
-	for _, zone := range candidateZones(spec, capacities) {
-		have, at, set := 0, now, map[*freeCapacity]option{}
-		there, on := map[string]int{}, map[*freeCapacity]int{}
-		for _, o := range options {
-			if zone != "" && o.r.machine.Zone != zone {
-				continue
-			}
-			n := o.n - on[o.r]
-			if spec.SpreadZones {
-				n = min(n, MaxPerZone(spec)-there[o.r.machine.Zone])
-			}
-			if n <= 0 {
-				continue
-			}
-			have += n
-			on[o.r] += n
-			there[o.r.machine.Zone] += n
-			set[o.r] = o
-			at = max(at, o.at)
-			if have >= need {
-				break
-			}
-		}
-		if have >= need && (best == nil || at < start) {
-			best, start = set, at
+	reservation.apply(spec)
+	return true
+}
+
+// preemptForHead preempts for a head whose reservation is too late, and tells whether it
+// did.
+func (s *Shard) preemptForHead(request preemptionRequest, reservation *headReservation, capacities []*freeCapacity) bool {
+	startsAt, now := reservation.startsAt, request.now
+	// Borrowed jobs give way to a job of this cluster that would wait.
+	if s.borrowedCount > 0 && startsAt > now {
+		borrowedOnly := request
+		borrowedOnly.isEligible = (*QueuedJob).isBorrowed
+		if s.preempt(borrowedOnly, capacities) {
+			return true
 		}
 	}
-	if best == nil {
-		return s.preempt(job, capacities, need, now, nil)
-	}
-	job.expectedStart = start
-	// What is borrowed gives way to a job of this cluster that would wait.
-	if s.borrowedCount > 0 && start > now && s.preempt(job, capacities, need, now, (*QueuedJob).isBorrowed) {
-		return true
+	fetchTime := time.Duration(0)
+	for free := range reservation.options {
+		fetchTime = max(fetchTime, s.imageFetchTime(free, &request.job.Record.Job))
 	}
-	fetch := time.Duration(0)
-	for r := range best {
-		fetch = max(fetch, s.imageFetchTime(r, spec))
+	return s.missesStartTarget(request.job, startsAt, now, fetchTime) && s.preempt(request, capacities)
+}
+
+// startOptions lists when how many tasks of a job can start together on each machine, up to
+// the number needed, earliest first.
+func (s *Shard) startOptions(job *QueuedJob, capacities []*freeCapacity, needed int, now time.Duration) []startOption {
+	var options []startOption
+	for _, free := range capacities {
+		if s.canReserveOn(free.machine, job, now) {
+			releases := s.expectedReleases(free.machine, now)
+			options = append(options, machineStartOptions(free, &job.Record.Job, releases, needed, now)...)
+		}
 	}
-	if s.missesStartTarget(job, start, now, fetch) && s.preempt(job, capacities, need, now, nil) {
-		return true
+	sort.SliceStable(options, func(a, b int) bool { return options[a].startsAt < options[b].startsAt })
+	return options
+}
+
+// canReserveOn tells whether a machine may be reserved, or others preempted there, for a
+// job.
+func (s *Shard) canReserveOn(machine *Machine, job *QueuedJob, now time.Duration) bool {
+	return s.canRunOn(machine, &job.Record.Job) &&
+		now >= job.avoidUntil[machine.ID] &&
+		!machine.suspect
+}
+
+// expectedReleases lists what a machine's attempts give back, earliest first.
+func (s *Shard) expectedReleases(machine *Machine, now time.Duration) []release {
+	var releases []release
+	for _, attempt := range machine.Attempts {
+		job := s.Jobs[attempt.Job]
+		if attempt.HasEnded() || job == nil {
+			continue
+		}
+		spec := &job.Record.Job
+		releases = append(releases, release{endsAt: s.expectedEnd(attempt, spec, now), spec: spec})
 	}
-	for r, o := range best {
-		r.isReserved, r.reservedFrom = true, o.at
-		r.spareCores = o.c - float64(o.n)*spec.Cores
-		r.spareGPUs = o.g - float64(o.n)*spec.GPUs
-		r.spareMemory = o.mem - float64(o.n)*spec.MemoryGB
+	sort.Slice(releases, func(a, b int) bool { return releases[a].endsAt < releases[b].endsAt })
+	return releases
+}
+
+// machineStartOptions lists when ever more tasks of a job can start together on a machine
+// as its attempts end, until the number needed is reached.
+func machineStartOptions(free *freeCapacity, spec *protocol.Job, releases []release, needed int, now time.Duration) []startOption {
+	var options []startOption
+	available, startsAt, most := free.resources, now, 0
+	for released := 0; ; released++ {
+		tasks := available.countFitting(spec, needed)
+		if tasks > most {
+			most = tasks
+			options = append(options, startOption{
+				capacity:  free,
+				startsAt:  startsAt,
+				tasks:     tasks,
+				available: available,
+			})
+		}
+		if tasks >= needed || released >= len(releases) {
+			return options
+		}
+		available.add(releases[released].spec)
+		startsAt = releases[released].endsAt
 	}
-	return true
 }
 
 // candidateZones lists the zones to try one by one for a job that may only be in
@@ -125,156 +140,117 @@
 	}
 	var zones []string
 	for _, free := range capacities {
-		if !contains(zones, free.machine.Zone) {
+		if !slices.Contains(zones, free.machine.Zone) {
 			zones = append(zones, free.machine.Zone)
 		}
 	}
 	return zones
 }
 
-// missesStartTarget tells whether starting at the given time, and fetching the image then,
-// misses what is expected of the job. If it does not, stopping others would only
-// cost their work. The time follows from estimates, which are often too low; so
-// what waits is not left to them beyond the last moment at which stopping others,
-// who save first, would still be in time. (Gangs used to be let wait for ends
-// that did not come, and stopped others when they were late themselves.)
-func (s *Shard) missesStartTarget(job *QueuedJob, start, now, fetch time.Duration) bool {
-	spec := &job.Record.Job
-	age := s.controller.WallSeconds() - job.Record.AcceptedAt
-	wait := age + (start - now).Seconds() + fetch.Seconds()
-	// A pass may be half a report away, and the word that they have saved.
-	lastChance := func() float64 {
-		return age + s.longestCheckpointSave(spec.Priority) + fetch.Seconds() + s.reportInterval().Seconds()
-	}
-	expected := false
-	for _, objective := range s.controller.Settings().Deployment.Objectives {
-		if objective.Class == spec.Class && objective.Kind == "wait" {
-			expected = true
-			if wait > objective.Within || start > now && lastChance() > objective.Within {
-				return true
-			}
+// earliestReservation chooses the earliest moment at which as many tasks as needed can
+// start, in any of the zones; nil: there is none. The options come earliest first.
+func earliestReservation(spec *protocol.Job, options []startOption, zones []string, needed int, now time.Duration) *headReservation {
+	var earliest *headReservation
+	for _, zone := range zones {
+		reservation := reserveInZone(spec, options, zone, needed, now)
+		if reservation == nil {
+			continue
 		}
-	}
-	for _, deadline := range s.controller.Deadlines(spec) {
-		expected = true
-		if wait+spec.Estimate > deadline {
-			return true
+		if earliest == nil || reservation.startsAt < earliest.startsAt {
+			earliest = reservation
 		}
 	}
-	return !expected && (start-now).Seconds() > spec.Estimate/2 || s.withinGuarantee(spec.Team)
+	return earliest
 }
 
-// longestCheckpointSave is how long work of lower ranks that is placed takes to save, in
-// seconds.
-func (s *Shard) longestCheckpointSave(rank int) (longest float64) {
-	for _, other := range s.jobsByID() {
-		if other.placedTasks > 0 && other.Record.Job.Priority < rank {
-			longest = max(longest, other.Record.Job.CheckpointDuration)
+// reserveInZone takes options of a zone (an empty name: of all) until as many tasks as
+// needed can start; nil if that is never so.
+func reserveInZone(spec *protocol.Job, options []startOption, zone string, needed int, now time.Duration) *headReservation {
+	reservation := &headReservation{startsAt: now, options: map[*freeCapacity]startOption{}}
+	total := 0
+	tasksInZone := map[string]int{}
+	tasksOnMachine := map[*freeCapacity]int{}
+	for _, option := range options {
+		machineZone := option.capacity.machine.Zone
+		if zone != "" && machineZone != zone {
+			continue
+		}
+		added := option.tasks - tasksOnMachine[option.capacity]
+		if spec.SpreadZones {
+			added = min(added, MaxPerZone(spec)-tasksInZone[machineZone])
+		}
+		if added <= 0 {
+			continue
+		}
+		total += added
+		tasksOnMachine[option.capacity] += added
+		tasksInZone[machineZone] += added
+		reservation.options[option.capacity] = option
+		reservation.startsAt = max(reservation.startsAt, option.startsAt)
+		if total >= needed {
+			return reservation
 		}
 	}
-	return longest
+	return nil
 }
 
-// preempt stops work that may be stopped for w (PROTOCOL, "Preemption") if
-// that frees room for the tasks it needs. While victims save, their room
-// stays reserved for w. only: of what may be stopped, that; nil: all.
-func (s *Shard) preempt(job *QueuedJob, capacities []*freeCapacity, need int, now time.Duration, isEligible func(*QueuedJob) bool) bool {
-	spec := &job.Record.Job
-	entitled := s.withinGuarantee(spec.Team)
-	type plan struct {
-		r       *freeCapacity
-		victims []*placement
-		lost    float64
+// apply marks the machines as reserved.
+func (r *headReservation) apply(spec *protocol.Job) {
+	for free, option := range r.options {
+		free.reserve(option.startsAt, option.available.without(option.tasks, spec))
 	}
-	var plans []plan
-	for _, r := range capacities {
-		if !s.canRunOn(r.machine, spec) || s.headroomBlocks(r, job, now) || now < job.avoidUntil[r.machine.ID] || r.machine.suspect {
+}
+
+// missesStartTarget tells whether starting at the given time, and fetching the image then,
+// misses what is expected of the job. If it does not, preempting others would only cost
+// their work. The time follows from estimates, which are often too low; so what waits is
+// not left to them beyond the last moment at which preempting others, who save a
+// checkpoint first, would still be in time. (Gangs used to wait for ends that did not
+// come, and preempted others when they were late themselves.)
+func (s *Shard) missesStartTarget(job *QueuedJob, startsAt, now, fetchTime time.Duration) bool {
+	spec := &job.Record.Job
+	age := s.controller.WallSeconds() - job.Record.AcceptedAt
+	wait := age + (startsAt - now).Seconds() + fetchTime.Seconds()
+	hasTarget := false
+	for _, objective := range s.controller.Settings().Deployment.Objectives {
+		if objective.Class != spec.Class || objective.Kind != objectiveWait {
 			continue
 		}
-		var vs []*placement
-		for run := range r.machine.AllAttempts() {
-			o := s.Jobs[run.Job]
-			if o == nil || run.HasEnded() || o == job || isEligible != nil && !isEligible(o) || s.isPreemptionProtected(o, now) {
-				continue
-			}
-			if o.Record.Job.Priority < spec.Priority || entitled && s.exceedsGuarantee(o.Record.Job.Team, spec.Team) {
-				vs = append(vs, &placement{r.machine, run})
-			}
-		}
-		lost := func(v *placement) float64 {
-			return preemptionCost(v.attempt, &s.Jobs[v.attempt.Job].Record.Job, now)
-		}
-		sort.SliceStable(vs, func(a, b int) bool { return lost(vs[a]) < lost(vs[b]) })
-		c, g, mem := r.cores, r.gpus, r.memory
-		pl := plan{r: r}
-		for _, v := range vs {
-			if c+epsilon >= spec.Cores && g+epsilon >= spec.GPUs && mem+epsilon >= spec.MemoryGB {
-				break
-			}
-			o := &s.Jobs[v.attempt.Job].Record.Job
-			c, g, mem = c+o.Cores, g+o.GPUs, mem+o.MemoryGB
-			pl.victims = append(pl.victims, v)
-			pl.lost += lost(v)
+		hasTarget = true
+		if wait > objective.Within {
+			return true
 		}
-		if c+epsilon >= spec.Cores && g+epsilon >= spec.GPUs && mem+epsilon >= spec.MemoryGB {
-			plans = append(plans, pl)
+		if startsAt > now && s.waitIfPreemptedNext(spec, age, fetchTime) > objective.Within {
+			return true
 		}
 	}
-	sort.SliceStable(plans, func(a, b int) bool { return plans[a].lost < plans[b].lost })
-	var chosen []plan
-	least := math.Inf(1)
-	for _, zone := range candidateZones(spec, capacities) {
-		var set []plan
-		lost, there := 0.0, map[string]int{}
-		for _, pl := range plans {
-			if len(set) < need && (zone == "" || pl.r.machine.Zone == zone) && (!spec.SpreadZones || there[pl.r.machine.Zone] < MaxPerZone(spec)) {
-				set = append(set, pl)
-				there[pl.r.machine.Zone]++
-				lost += pl.lost
-			}
-		}
-		if len(set) == need && lost < least {
-			chosen, least = set, lost
+	for _, deadline := range s.controller.Deadlines(spec) {
+		hasTarget = true
+		if wait+spec.Estimate > deadline {
+			return true
 		}
 	}
-	any := false
-	for _, pl := range chosen {
-		for _, v := range pl.victims {
-			any = true
-			if !v.attempt.StopRequested {
-				s.stopAttempt(s.Jobs[v.attempt.Job], v, "preempted by "+spec.ID)
-			}
-		}
-		pl.r.isReserved, pl.r.reservedFrom = true, now
-		pl.r.spareCores, pl.r.spareGPUs, pl.r.spareMemory = 0, 0, 0
+	if !hasTarget && (startsAt-now).Seconds() > spec.Estimate/2 {
+		return true
 	}
-	return any
+	return s.withinGuarantee(spec.Team)
 }
 
-// preemptionCost is how many core-seconds stopping a run costs: its save, or all that it
-// has done.
-func preemptionCost(attempt *agent.Attempt, spec *protocol.Job, now time.Duration) float64 {
-	if attempt.StartedAt == 0 || attempt.StopRequested {
-		return 0
-	}
-	if spec.CheckpointInterval > 0 {
-		return spec.CheckpointDuration * spec.Cores
-	}
-	return (now - attempt.StartedAt).Seconds() * spec.Cores
+// waitIfPreemptedNext is how long, in seconds, a job will have waited if others are
+// preempted for it not now but at the next opportunity: a pass may be half a report
+// interval away, and so may the report that they have saved.
+func (s *Shard) waitIfPreemptedNext(spec *protocol.Job, age float64, fetchTime time.Duration) float64 {
+	return age + s.longestCheckpointSave(spec.Priority) + fetchTime.Seconds() + s.reportInterval().Seconds()
 }
 
-// exceedsGuarantee: the team runs more here than its guarantee.
-func (s *Shard) exceedsGuarantee(team, requester string) bool {
-	if team == requester {
-		return false
-	}
-	quota := s.controller.Settings().Team(team)
-	var cores, gpus float64
-	for _, job := range s.Jobs {
-		if job.Record.Job.Team == team {
-			cores += job.Record.Job.Cores * float64(job.placedTasks)
-			gpus += job.Record.Job.GPUs * float64(job.placedTasks)
+// longestCheckpointSave is how long placed attempts of priorities below the given one take
+// to save a checkpoint, in seconds.
+func (s *Shard) longestCheckpointSave(priority int) float64 {
+	longest := 0.0
+	for _, job := range s.jobsByID() {
+		if job.placedTasks > 0 && job.Record.Job.Priority < priority {
+			longest = max(longest, job.Record.Job.CheckpointDuration)
 		}
 	}
-	return quota == nil || cores > quota.Cores+epsilon || gpus > quota.GPUs+epsilon
+	return longest
 }
