--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -132,12 +132,11 @@
 }
 
 // fillBatch moves requests of one priority into a batch. It reports whether the batch is
-// to be sent as it is, without any of lower priority. A request that made a batch fail
-// goes alone.
+// to be sent as it is, without any of lower priority. A request that may have made a batch
+// fail goes alone.
 func (s *Store) fillBatch(b *batch, priority Priority) (isComplete bool) {
 	// Done may queue another request: it must not be lost with the old list.
-	queued := s.queues[priority]
-	s.queues[priority] = nil
+	queued := s.queues.takeAll(priority)
 	var left []*WriteRequest
 	isAlone := false
 	for i, request := range queued {
@@ -156,7 +155,7 @@
 			left = append(left, queued[i:]...)
 			break
 		}
-		s.writeBudget -= float64(len(c.mutations))
+		s.budget.spend(len(c.mutations))
 		b.add(&c)
 		if mustGoAlone {
 			left = append(left, queued[i+1:]...)
@@ -164,7 +163,7 @@
 			break
 		}
 	}
-	s.queues[priority] = append(left, s.queues[priority]...)
+	s.queues.pushFront(priority, left...)
 	return isAlone || len(left) > 0 && len(b.requests) > 0
 }
 
@@ -174,5 +173,5 @@
 	isFirst := len(b.requests) == 0
 	return !b.conflictsWith(c) &&
 		b.hasRoomFor(c, s.limits.MutationsPerTransaction) &&
-		s.isWithinBudget(priority, len(c.mutations), isFirst)
+		s.budget.allows(priority, len(c.mutations), isFirst)
 }
--- a/internal/kvstore/kvstore.go
+++ b/internal/kvstore/kvstore.go
@@ -67,9 +67,8 @@
 	health  Health
 	latency latencyEstimate
 
-	queues          [PriorityCount][]*WriteRequest
-	writeBudget     float64 // mutations that may be sent now; negative: overdrawn
-	budgetUpdatedAt time.Duration
+	queues          writeQueues
+	budget          writeBudget
 	pausedUntil     time.Duration
 	batchesInFlight int
 	batchCount      int
@@ -92,9 +91,9 @@
 		cache:     map[string]Entry{},
 		deletedAt: map[string]uint64{},
 		onChange:  onChange,
+		budget:    newWriteBudget(limits),
 	}
 	s.processNonce = fmt.Sprintf("%s.%x", host, environment.Rand().Uint64())
-	s.writeBudget = s.writeRate()
 	s.Lease.store = s
 	return s
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -10,14 +10,14 @@
 	"curlewspool/internal/protocol"
 )
 
-// Lease is the lease that this controller's keys are attached to, and with it how long
-// this controller may act as their owner: for the lease's life from the older of two
-// moments, the last renewal and the one as of which the cache is known to be current. A
-// renewal says nothing of what was decided meanwhile. (A controller that was refused
-// alone for less than the lease's life, and then cut off with everybody, renewed its
-// lease between the two: it answered workers for two lives on news from before a
-// cancellation. And an owner whose key had been taken by force went on for longer than
-// the taker waits.)
+// Lease is the lease that this controller's keys are attached to. It also bounds how long
+// this controller may act as their owner: for the lease's time to live from the older of
+// two moments, the last renewal and the one as of which the cache is known to be current.
+// A renewal alone does not tell what others decided meanwhile. (Two failures seen with
+// renewals alone: a controller was refused for less than a lease's life, renewed, and was
+// then cut off with all others; it answered workers for two lives without knowing of a
+// cancellation. And an owner whose key had been taken by force went on for longer than the
+// taker waits.)
 type Lease struct {
 	// ID is the lease's number at the service; 0: none is held.
 	ID uint64
@@ -33,20 +33,20 @@
 	store            *Store
 	ttl              time.Duration
 	renewInterval    time.Duration
-	maxClockDrift    float64       // of two clocks against true time, as a fraction
+	maxClockDrift    float64       // of each clock against true time, as a fraction
 	renewedAt        time.Duration // when the last successful renewal was sent
 	isRequestPending bool
 }
 
-// KeepAlive obtains a lease of the given life and renews it at an interval.
+// KeepAlive obtains a lease of the given time to live and renews it at an interval.
 func (l *Lease) KeepAlive(ttl, renewInterval time.Duration, maxClockDrift float64) {
 	l.ttl, l.renewInterval, l.maxClockDrift = ttl, renewInterval, maxClockDrift
 	l.acquireOrRenew()
 }
 
-// IsValid reports whether this controller may act on the lease's strength now. The
-// service counts a renewal from when it executed it, which is later than it was sent; the
-// clocks may drift apart.
+// IsValid reports whether this controller may act as the owner of its keys now. The time
+// to live counts from when a renewal was sent, as the service counts it from when it
+// executed it, which is later; it is shortened as the two clocks may drift apart.
 func (l *Lease) IsValid() bool {
 	if l.ID == 0 {
 		return false
@@ -105,14 +105,14 @@
 	})
 }
 
-// post sends a request for the lease. It is given up in time for the one after the next.
+// post sends a request for the lease. It times out after two intervals at the latest.
 func (l *Lease) post(path string, in, out any, done func(status int)) {
 	timeout := min(requestTimeout, 2*l.renewInterval)
 	l.store.env.Call(l.store.address, http.MethodPost, path, in, out, timeout, done)
 }
 
-// scheduleNext ends the request that was sent at sentAt and plans the next: after the
-// interval, or sooner if it failed.
+// scheduleNext ends the request that was sent at sentAt and schedules the next: an
+// interval after that one was sent, or a retry delay if it failed and that is sooner.
 func (l *Lease) scheduleNext(sentAt time.Duration, succeeded bool) {
 	l.isRequestPending = false
 	delay := l.renewInterval
--- a/internal/kvstore/send.go
+++ b/internal/kvstore/send.go
@@ -10,7 +10,7 @@
 	"curlewspool/internal/protocol"
 )
 
-// sendBatch sends a transaction, and looks for it if its answer is late.
+// sendBatch sends a transaction, and reads whether it was applied if the answer is late.
 func (s *Store) sendBatch(b *batch) {
 	if b.isResolved {
 		return
@@ -21,7 +21,7 @@
 		isAnswered = true
 		err := statusError(status)
 		if err == nil && result.StoreRevision == 0 {
-			err = ErrUnknownOutcome // of no revision: whether it was applied is to be found out
+			err = ErrUnknownOutcome // an answer without a revision proves nothing
 		}
 		s.recordOutcome(err)
 		if err == nil {
@@ -56,9 +56,8 @@
 	case errors.Is(err, ErrThrottled), errors.Is(err, ErrUnavailable):
 		s.handleNotExecuted(b, err)
 	default:
-		// It may have been applied or may be yet. The same conditions hold for the
-		// second copy, so at most one of the two takes effect; the nonce tells whether
-		// one has.
+		// It may have been applied, or may be yet. A second copy has the same conditions,
+		// so at most one of the two takes effect; the nonce tells whether one has.
 		b.isOutcomeUnknown = true
 		s.resendLater(b)
 	}
@@ -113,11 +112,11 @@
 	}
 }
 
-// handleConflict handles a batch of which nothing was applied. A lone writer is told so,
-// once the cache shows why. Of several, those whose conditions failed are tried again one
-// by one; the others go back to where they waited. (One stale write among twenty would
-// otherwise cost twenty transactions.) failed lists the keys whose conditions failed;
-// none: not known.
+// handleConflict handles a batch of which nothing was applied; failed lists the keys whose
+// conditions failed, if that is known. The writer of a single request is told so once the
+// cache shows why. Of several requests, those whose conditions failed are retried one by
+// one, and the others return to their queues. (One stale write among twenty would
+// otherwise cost twenty transactions.)
 func (s *Store) handleConflict(b *batch, failed []string) {
 	s.batchesInFlight--
 	if len(b.requests) == 1 {
@@ -133,7 +132,7 @@
 			request.conflicts++
 			priority = PriorityHigh
 		}
-		s.requeueFirst(priority, request)
+		s.queues.pushFront(priority, request)
 	}
 	s.sendQueued()
 }
@@ -158,21 +157,25 @@
 		return
 	}
 	slog.Error("kvstore: transaction rejected", "error", message, "key", b.transaction.Mutations[0].Put)
-	if strings.Contains(message, "no such") {
+	if saysLeaseExpired(message) {
 		s.Lease.handleExpired()
 	}
 	s.handleConflict(b, nil)
 }
 
-// namesLease reports whether the service's error message is about a lease. The protocol
-// calls it a permit.
+// namesLease reports whether the service's error message is about a lease, which the
+// protocol calls a permit.
 func namesLease(message string) bool {
 	return strings.Contains(message, "lease") || strings.Contains(message, "permit")
 }
 
-// handleNotExecuted handles a batch that the service declined without executing it: sends
-// pause, and the writes are queued to be built anew. One whose outcome is unknown from
-// before is sent again as it is.
+// saysLeaseExpired reports whether the service's error message says that a lease is not
+// known any more: leases are all that a transaction names and must exist.
+func saysLeaseExpired(message string) bool { return strings.Contains(message, "no such") }
+
+// handleNotExecuted handles a batch that the service declined without executing it:
+// sending pauses, and the requests are queued to be built anew. A batch of which an
+// earlier copy may have been applied is sent again unchanged.
 func (s *Store) handleNotExecuted(b *batch, err error) {
 	if b.isOutcomeUnknown {
 		s.resendLater(b)
@@ -186,7 +189,7 @@
 		if isUnavailable && request.ShouldAbandon != nil && request.ShouldAbandon() {
 			continue
 		}
-		s.requeueFirst(PriorityHigh, request)
+		s.queues.pushFront(PriorityHigh, request)
 	}
 	s.scheduleSend(s.retryDelay())
 }
--- a/internal/kvstore/write.go
+++ b/internal/kvstore/write.go
@@ -6,21 +6,24 @@
 	"curlewspool/internal/protocol"
 )
 
-// WriteRequest is one atomic group of mutations. Its conditions are worked out when it
-// is sent, so a waiting request never carries an old revision or value.
+// maxBatchesInFlight is how many transactions may be unanswered at once.
+const maxBatchesInFlight = 3
+
+// WriteRequest is one atomic group of mutations. Its conditions are computed when it is
+// sent, so a waiting request never carries an old revision or value.
 type WriteRequest struct {
-	// Build gives conditions and mutations; every key written must be among the
+	// Build gives conditions and mutations. Every key written must be among the
 	// conditions, or a delayed copy of the transaction could undo a newer one. Values
-	// must carry nonce (CBOR field "w"). No mutations: the request is withdrawn.
+	// must carry nonce (CBOR field "w"). Without mutations the request is withdrawn.
 	Build func(nonce string) ([]protocol.Condition, []protocol.Mutation)
-	// Done is called with whether the mutations were applied, and if so in which
-	// revision; false: they were not and never will be.
+	// Done tells whether the mutations were applied, and in which revision. false: they
+	// were not and never will be.
 	Done func(applied bool, revision uint64)
-	// ShouldAbandon, if given, is asked when the service has no quorum; true gives the
-	// request up without a call of Done (it was not applied).
+	// ShouldAbandon, if given, is asked when the service refuses requests (503); true
+	// drops the request, which was not applied, without a call of Done.
 	ShouldAbandon func() bool
 
-	conflicts int // how often it was in a batch of several that failed for it
+	conflicts int // failed batches of several requests that this one may have failed
 	priority  Priority
 }
 
@@ -37,47 +40,53 @@
 	PriorityCount = iota
 )
 
-const (
-	// maxBatchesInFlight is how many transactions are under way at once.
-	maxBatchesInFlight = 3
-	// writeRateShare is the part of the service's write limit that controllers plan to use.
-	writeRateShare = 0.9
-	// busyMembersShare is the part of all controllers that is taken to write at a time.
-	busyMembersShare = 0.7
-	// lowPriorityReserve is the part of a second's budget that writes of low priority
-	// leave to others.
-	lowPriorityReserve = 0.25
-)
-
-// writeRate is this controller's budget of mutations a second.
-func (s *Store) writeRate() float64 {
-	return writeRateShare * s.limits.WritesPerSecond / max(1, busyMembersShare*float64(s.limits.Members))
-}
+// writeQueues holds the waiting requests of each priority, in the order of sending.
+type writeQueues [PriorityCount][]*WriteRequest
 
-// QueuedWrites is the number of writes that wait.
-func (s *Store) QueuedWrites() int {
+// length is the number of requests that wait.
+func (q *writeQueues) length() int {
 	count := 0
-	for _, queue := range s.queues {
+	for _, queue := range q {
 		count += len(queue)
 	}
 	return count
 }
 
-// HasBacklog reports whether so many writes wait that they take the budget of the given
-// seconds.
+// pushBack puts a request after all others of a priority.
+func (q *writeQueues) pushBack(priority Priority, request *WriteRequest) {
+	q[priority] = append(q[priority], request)
+}
+
+// pushFront puts requests before all others of a priority.
+func (q *writeQueues) pushFront(priority Priority, requests ...*WriteRequest) {
+	q[priority] = append(requests, q[priority]...)
+}
+
+// takeAll empties the queue of a priority.
+func (q *writeQueues) takeAll(priority Priority) []*WriteRequest {
+	requests := q[priority]
+	q[priority] = nil
+	return requests
+}
+
+// QueuedWrites is the number of writes that wait.
+func (s *Store) QueuedWrites() int { return s.queues.length() }
+
+// HasBacklog reports whether the waiting writes would take the budget of the given number
+// of seconds.
 func (s *Store) HasBacklog(seconds float64) bool {
-	return float64(s.QueuedWrites()) >= seconds*s.writeRate()
+	return float64(s.QueuedWrites()) >= seconds*s.budget.rate
 }
 
 // Write queues a request. It is sent after the current batch of commands, so that what
 // belongs together is committed together.
 func (s *Store) Write(priority Priority, request *WriteRequest) {
 	request.priority = priority
-	s.queues[priority] = append(s.queues[priority], request)
+	s.queues.pushBack(priority, request)
 	s.scheduleSend(0)
 }
 
-// scheduleSend sends queued writes after a delay, unless that is planned already.
+// scheduleSend sends queued writes after a delay, unless a send is scheduled already.
 func (s *Store) scheduleSend(delay time.Duration) {
 	if s.isSendScheduled {
 		return
@@ -97,11 +106,11 @@
 			s.scheduleSend(s.pausedUntil - now)
 			return
 		}
-		s.refillBudget(now)
+		s.budget.refill(now)
 		b := s.buildBatch()
 		if b == nil {
 			if s.QueuedWrites() > 0 {
-				s.scheduleSend(time.Duration(float64(time.Second) / s.writeRate()))
+				s.scheduleSend(s.budget.timePerMutation())
 			}
 			return
 		}
@@ -109,28 +118,3 @@
 		s.sendBatch(b)
 	}
 }
-
-// refillBudget adds what has accrued since the last call, up to one second's worth.
-func (s *Store) refillBudget(now time.Duration) {
-	accrued := s.writeRate() * (now - s.budgetUpdatedAt).Seconds()
-	s.writeBudget = min(s.writeRate(), s.writeBudget+accrued)
-	s.budgetUpdatedAt = now
-}
-
-// isWithinBudget reports whether a write of so many mutations may be sent now. Those of
-// lower priority leave a part of the budget untouched for higher ones to come; one of
-// high priority may overdraw it by a second's worth, and be larger than that if it is
-// the first of its batch.
-func (s *Store) isWithinBudget(priority Priority, mutations int, isFirst bool) bool {
-	rate := s.writeRate()
-	floor := [PriorityCount]float64{PriorityHigh: -rate, PriorityNormal: 0, PriorityLow: lowPriorityReserve * rate}[priority]
-	if s.writeBudget-float64(mutations) >= floor {
-		return true
-	}
-	return priority == PriorityHigh && isFirst && s.writeBudget > -rate
-}
-
-// requeueFirst puts a request before all others of a priority.
-func (s *Store) requeueFirst(priority Priority, request *WriteRequest) {
-	s.queues[priority] = append([]*WriteRequest{request}, s.queues[priority]...)
-}
