--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -75,7 +75,7 @@
 func (m *Machine) MarkChanged() { m.Version++ }
 
 // Place adds an attempt that is to be launched. awaitingRecord holds the launch back until
-// the key-value store has the attempt.
+// Attempt.AwaitingRecord is reset, once the key-value store has the attempt.
 func (m *Machine) Place(task TaskID, number uint64, awaitingRecord bool, now time.Duration) *Attempt {
 	attempt := &Attempt{
 		AttemptID:      AttemptID{task, number},
--- a/internal/agent/attempt.go
+++ b/internal/agent/attempt.go
@@ -60,8 +60,8 @@
 // launchRecord is what is known of the launch command of an attempt.
 type launchRecord struct {
 	sentAfter
-	direct bool   // sent as a direct command, not in the answer to a report
-	token  uint64 // fencing token of the message
+	delivery Delivery
+	token    uint64 // fencing token of the message
 }
 
 // sentAfter tells whether a command was sent, and the newest report that had been received
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -14,12 +14,22 @@
 // does not end.
 const stopRepeatInterval = time.Second
 
-// NextCommands returns what the agent is to do now and records it as sent, either in the
-// answer to its newest report or, if direct, as the body of POST /orders. The message must
+// Delivery says how commands are sent to an agent. The difference matters for what may
+// become of them: an answer is taken within seconds or dropped, while direct commands may be
+// executed minutes later; and an answer renews the machine's lease, direct commands do not.
+type Delivery bool
+
+// The ways to send commands.
+const (
+	InAnswer Delivery = false // in the answer to the newest report
+	Direct   Delivery = true  // as the body of POST /orders
+)
+
+// NextCommands returns what the agent is to do now and records it as sent. The message must
 // carry m.FencingToken as it is after the call. Without allowLaunch nothing is launched: a
 // stop must not wait for what only a launch needs.
-func (m *Machine) NextCommands(direct, allowLaunch bool, now time.Duration) []protocol.Command {
-	stops := m.stopCommands(direct, now) // first: nothing else may take their place
+func (m *Machine) NextCommands(delivery Delivery, allowLaunch bool, now time.Duration) []protocol.Command {
+	stops := m.stopCommands(delivery, now) // first: nothing else may take their place
 	var acknowledgements, launches []protocol.Command
 	var launched []*Attempt
 	for attempt := range m.AllAttempts() {
@@ -29,8 +39,8 @@
 		switch {
 		case m.canAcknowledge(attempt):
 			acknowledgements = append(acknowledgements, m.acknowledge(attempt))
-		case allowLaunch && m.canLaunch(attempt, direct, now):
-			launches = append(launches, m.launch(attempt, direct, now))
+		case allowLaunch && m.canLaunch(attempt, delivery, now):
+			launches = append(launches, m.launch(attempt, delivery, now))
 			launched = append(launched, attempt)
 		}
 	}
@@ -42,13 +52,13 @@
 }
 
 // stopCommands returns the commands to stop attempts.
-func (m *Machine) stopCommands(direct bool, now time.Duration) []protocol.Command {
+func (m *Machine) stopCommands(delivery Delivery, now time.Duration) []protocol.Command {
 	var stops []protocol.Command
 	for attempt := range m.AllAttempts() {
 		// The home cluster relies on it that an answer after the permit's end, which
 		// renews the machine's lease, stops all that is there under the permit, however
-		// much that is. Direct commands renew nothing.
-		mustStop := !direct && attempt.permitExpired(now)
+		// much that is.
+		mustStop := delivery == InAnswer && attempt.permitExpired(now)
 		if mustStop && !attempt.HasEnded() && attempt.MayExist() {
 			attempt.StopRequested = true
 			attempt.GraceSeconds = 0
@@ -84,7 +94,7 @@
 	// message with the acknowledgement carries a higher token than they did. (Seen with
 	// two copies of a launch, one of them after the task had been stopped, acknowledged
 	// and started elsewhere: it ran twice.)
-	if attempt.launch.direct && m.FencingToken <= attempt.launch.token {
+	if attempt.launch.delivery == Direct && m.FencingToken <= attempt.launch.token {
 		m.FencingToken = attempt.launch.token + 1
 	}
 	attempt.acknowledgement = m.sentNow()
@@ -95,22 +105,21 @@
 	}
 }
 
-// canLaunch reports whether a message of the given kind may launch the attempt. A direct
-// command may be executed minutes later, so it launches nothing that needs a permit; an
-// answer is taken within seconds or dropped.
-func (m *Machine) canLaunch(attempt *Attempt, direct bool, now time.Duration) bool {
+// canLaunch reports whether a message may launch the attempt. A direct command may be
+// executed after a permit's end, so it launches nothing that needs one.
+func (m *Machine) canLaunch(attempt *Attempt, delivery Delivery, now time.Duration) bool {
 	if !attempt.isLaunchable() || !m.Reconciled || !m.IsReachable() {
 		return false
 	}
-	return attempt.Permit == nil || !direct && !attempt.permitExpired(now)
+	return attempt.Permit == nil || delivery == InAnswer && !attempt.permitExpired(now)
 }
 
 // launch returns the command to launch an attempt, and records it as sent; NextCommands
 // adds the token.
-func (m *Machine) launch(attempt *Attempt, direct bool, now time.Duration) protocol.Command {
+func (m *Machine) launch(attempt *Attempt, delivery Delivery, now time.Duration) protocol.Command {
 	attempt.launch.sentAfter = m.sentNow()
-	attempt.launch.direct = direct
-	if direct { // the incarnation may execute it, and lives one lease at most
+	attempt.launch.delivery = delivery
+	if delivery == Direct { // the incarnation may execute it, and lives one lease at most
 		m.LastPossibleRenewal = max(m.LastPossibleRenewal, now)
 	}
 	return protocol.Command{
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -20,16 +20,16 @@
 	}
 	m := reconciledMachine()
 	attempt := m.Place(TaskID{"wk-1", 0}, 7, false, 0)
-	m.NextCommands(true, true, 0)
+	m.NextCommands(Direct, true, 0)
 	m.CommandsSent()
 	m.CommandsLost(baseToken)
-	m.ApplyReport(newReport(2, baseToken, ended), time.Second, true)
+	m.ApplyReport(newReport(2, baseToken, ended), time.Second, Posted)
 	attempt.Acknowledge = true
-	if commands := m.NextCommands(false, true, 0); len(commands) != 0 {
+	if commands := m.NextCommands(InAnswer, true, 0); len(commands) != 0 {
 		t.Errorf("%v while lost commands may still be executed", commands)
 	}
-	m.ApplyReport(newReport(3, m.FencingToken, ended), time.Second, true)
-	if commands := m.NextCommands(false, true, 0); len(commands) != 1 || commands[0].Verb != protocol.CommandAcknowledge {
+	m.ApplyReport(newReport(3, m.FencingToken, ended), time.Second, Posted)
+	if commands := m.NextCommands(InAnswer, true, 0); len(commands) != 1 || commands[0].Verb != protocol.CommandAcknowledge {
 		t.Errorf("commands %v, want an acknowledgement", commands)
 	}
 }
@@ -39,34 +39,34 @@
 // more than an answer usually holds.
 func TestBorrowedTaskPermit(t *testing.T) {
 	m := New("i-1", 100, 0)
-	if _, ok := m.ApplyReport(newReport(1, 100), time.Second, true); !ok {
+	if _, ok := m.ApplyReport(newReport(1, 100), time.Second, Posted); !ok {
 		t.Fatal("report rejected")
 	}
 	permit := &remotelease.Permit{}
 	own := m.Place(TaskID{"wk-1", 0}, 1, false, time.Second)
 	borrowed := m.Place(TaskID{"wk-at.west.1.0.a", 0}, 2, false, time.Second)
 	borrowed.Permit = permit
-	sent := func(direct bool, now time.Duration) string {
+	sent := func(delivery Delivery, now time.Duration) string {
 		var text strings.Builder
-		for _, command := range m.NextCommands(direct, true, now) {
+		for _, command := range m.NextCommands(delivery, true, now) {
 			text.WriteString(string(command.Verb) + " " + command.Task + "; ")
 		}
 		return text.String()
 	}
-	if got := sent(false, 2*time.Second); got != "launch wk-1/0; " {
+	if got := sent(InAnswer, 2*time.Second); got != "launch wk-1/0; " {
 		t.Errorf("without a permit: %q", got)
 	}
 	permit.Renew(2*time.Second, 10*time.Second)
 	if m.NeedsDirectCommands(true, 3*time.Second) {
 		t.Error("a borrowed launch asks for direct commands")
 	}
-	if got := sent(true, 3*time.Second); got != "" {
+	if got := sent(Direct, 3*time.Second); got != "" {
 		t.Errorf("direct commands: %q", got)
 	}
-	if got := sent(false, 4*time.Second); got != "launch wk-at.west.1.0.a/0; " {
+	if got := sent(InAnswer, 4*time.Second); got != "launch wk-at.west.1.0.a/0; " {
 		t.Errorf("permitted: %q", got)
 	}
-	if got := sent(false, 11*time.Second); got != "" {
+	if got := sent(InAnswer, 11*time.Second); got != "" {
 		t.Errorf("still permitted: %q", got)
 	}
 	const more = 3 * maxCommands / 2
@@ -75,7 +75,7 @@
 		attempt.Permit = permit
 		attempt.State = protocol.TaskRunning
 	}
-	if got := strings.Count(sent(false, 12*time.Second), "halt wk-at"); got != 1+more {
+	if got := strings.Count(sent(InAnswer, 12*time.Second), "halt wk-at"); got != 1+more {
 		t.Errorf("%d stops after the permit's end, want %d", got, 1+more)
 	}
 	if own.StopRequested {
@@ -99,7 +99,7 @@
 // are more stops than an answer holds, the report must not be answered.
 func TestStopsComeFirst(t *testing.T) {
 	m := New("i-1", 100, 0)
-	m.ApplyReport(newReport(1, 100), time.Second, true)
+	m.ApplyReport(newReport(1, 100), time.Second, Posted)
 	for _, attempt := range placeAll(m, "wk-1", maxCommands, protocol.TaskEnded) {
 		attempt.Acknowledge = true
 	}
@@ -108,7 +108,7 @@
 		m.RequestStop(attempt, 0)
 	}
 	counts := map[protocol.CommandVerb]int{}
-	commands := m.NextCommands(false, false, 2*time.Second)
+	commands := m.NextCommands(InAnswer, false, 2*time.Second)
 	for _, command := range commands {
 		counts[command.Verb]++
 	}
@@ -133,11 +133,11 @@
 // seconds or dropped: no copy follows, so the token stays.
 func TestAcknowledgeOutdatesLaunch(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		direct bool
+		name     string
+		delivery Delivery
 	}{
-		{"launched by a direct command", true},
-		{"launched in an answer", false},
+		{"launched by a direct command", Direct},
+		{"launched in an answer", InAnswer},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := New("i-1", 100, 0)
@@ -151,11 +151,11 @@
 						Cause:   protocol.CauseStopped,
 					}}
 				}
-				m.ApplyReport(report, time.Second, true)
+				m.ApplyReport(report, time.Second, Posted)
 			}
 			apply(1, "")
 			attempt := m.Place(TaskID{"wk-1", 0}, 1, false, time.Second)
-			commands := m.NextCommands(test.direct, true, time.Second)
+			commands := m.NextCommands(test.delivery, true, time.Second)
 			if len(commands) != 1 || commands[0].Verb != protocol.CommandLaunch {
 				t.Fatalf("%v, want a launch", commands)
 			}
@@ -163,11 +163,11 @@
 			apply(2, protocol.TaskRunning)
 			apply(3, protocol.TaskEnded)
 			attempt.Acknowledge = true
-			commands = m.NextCommands(false, true, time.Second)
+			commands = m.NextCommands(InAnswer, true, time.Second)
 			if len(commands) != 1 || commands[0].Verb != protocol.CommandAcknowledge {
 				t.Fatalf("%v, want an acknowledgement", commands)
 			}
-			if raised := m.FencingToken > launchToken; raised != test.direct {
+			if raised := m.FencingToken > launchToken; raised != (test.delivery == Direct) {
 				t.Errorf("launched under %d, acknowledged under %d", launchToken, m.FencingToken)
 			}
 		})
--- a/internal/agent/helpers_test.go
+++ b/internal/agent/helpers_test.go
@@ -12,7 +12,7 @@
 // reconciledMachine returns a machine whose agent has seen our token.
 func reconciledMachine() *Machine {
 	m := New("i-1", baseToken, 0)
-	m.ApplyReport(newReport(1, baseToken), time.Second, true)
+	m.ApplyReport(newReport(1, baseToken), time.Second, Posted)
 	return m
 }
 
@@ -41,8 +41,8 @@
 // than what is known, and rejected otherwise.
 func receiveReport(m *Machine, sequence, token uint64, tasks ...protocol.TaskReport) {
 	report := newReport(sequence, token, tasks...)
-	if _, ok := m.ApplyReport(report, time.Second, true); !ok {
-		m.ReportRejected(report, true)
+	if _, ok := m.ApplyReport(report, time.Second, Posted); !ok {
+		m.ReportRejected(report, Outdated)
 		return
 	}
 	m.ReportAnswered(time.Second)
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -14,7 +14,7 @@
 	}
 	// After that, messages of the old incarnation count for nothing.
 	m.ExpireLease(time.Hour)
-	if _, ok := m.ApplyReport(newReport(99, baseToken), time.Minute, true); ok {
+	if _, ok := m.ApplyReport(newReport(99, baseToken), time.Minute, Posted); ok {
 		t.Error("a late report of the ended incarnation was applied")
 	}
 }
@@ -25,19 +25,19 @@
 func TestRestartedMachineIsEmptyOnlyUnderNewToken(t *testing.T) {
 	m := reconciledMachine()
 	attempt := m.Place(TaskID{"wk-1", 0}, 1, false, 0)
-	m.NextCommands(true, true, 0) // in flight
+	m.NextCommands(Direct, true, 0) // in flight
 	m.ResetIncarnation(40 * time.Second)
 	if m.LeaseExpired(50*time.Second, 14*time.Second, 0) {
 		t.Error("lost by the lease of the old agent, whose commands the new one may execute")
 	}
-	events, ok := m.ApplyReport(newReport(1, 0), time.Second, true)
+	events, ok := m.ApplyReport(newReport(1, 0), time.Second, Posted)
 	if !ok || countLost(events) > 0 || m.Attempts[attempt.AttemptID] == nil || m.Reconciled {
 		t.Error("lost by a report that commands to the old agent may follow")
 	}
-	if _, ok := m.ApplyReport(newReport(800, baseToken), time.Second, true); !ok {
+	if _, ok := m.ApplyReport(newReport(800, baseToken), time.Second, Posted); !ok {
 		t.Error("a copy of the old agent's report cannot be told apart yet")
 	}
-	events, ok = m.ApplyReport(newReport(2, m.BaseToken), time.Second, false)
+	events, ok = m.ApplyReport(newReport(2, m.BaseToken), time.Second, Requested)
 	if !ok || countLost(events) != 1 || !m.Reconciled || !m.IsReachable() {
 		t.Errorf("not lost by a report under the new token: %v %v", ok, events)
 	}
--- a/internal/agent/reachability.go
+++ b/internal/agent/reachability.go
@@ -91,7 +91,7 @@
 	hasOurToken := report.FencingToken >= m.BaseToken
 	tookToken := hasOurToken && report.FencingToken > r.highestToken
 	switch {
-	case !evidence.posted || evidence.tookEffect || tookToken:
+	case evidence.origin == Requested || evidence.tookEffect || tookToken:
 		m.confirmReachable()
 	case evidence.newIncarnation: // its lease expired, or it is new here
 		m.suspectUnreachable(now, answered)
@@ -104,20 +104,28 @@
 	}
 	r.highestToken = max(r.highestToken, report.FencingToken)
 	switch {
-	case evidence.posted:
+	case evidence.origin == Posted:
 		r.precedingSequence = 0 // until it is answered
 	case r.precedingSequence != 0:
 		r.precedingSequence = report.Sequence
 	}
 }
 
-// ReportRejected records that a posted report was not answered with 200; outdated: because
-// it was not newer than what is known. It reports whether such a report may be of a
-// restarted machine: otherwise it is a late copy, or was overtaken by the answer to a
-// direct command.
-func (m *Machine) ReportRejected(report *protocol.Report, outdated bool) (mayBeRestarted bool) {
+// Rejection says why a posted report is not answered with 200.
+type Rejection bool
+
+// The reasons of a rejection.
+const (
+	Unanswerable Rejection = false // its answer would promise too much
+	Outdated     Rejection = true  // it is not newer than what is known
+)
+
+// ReportRejected records that a posted report is not answered with 200. It reports whether
+// an outdated report may be of a restarted machine: otherwise it is a late copy, or was
+// overtaken by the answer to a direct command.
+func (m *Machine) ReportRejected(report *protocol.Report, reason Rejection) (mayBeRestarted bool) {
 	r := &m.reachability
-	if outdated && (report.Incarnation < m.Incarnation || report.FencingToken < r.highestToken || report.Sequence <= r.answeredSequence) {
+	if reason == Outdated && (report.Incarnation < m.Incarnation || report.FencingToken < r.highestToken || report.Sequence <= r.answeredSequence) {
 		return true
 	}
 	r.precedingSequence = 0
--- a/internal/agent/reachability_test.go
+++ b/internal/agent/reachability_test.go
@@ -46,12 +46,12 @@
 		receiveReport(m, 4, baseToken)
 	}, reachable},
 	{"skips one report that was rejected", func(m *Machine) {
-		m.ApplyReport(newReport(2, baseToken), time.Second, true)
-		m.ReportRejected(newReport(2, baseToken), false)
+		m.ApplyReport(newReport(2, baseToken), time.Second, Posted)
+		m.ReportRejected(newReport(2, baseToken), Unanswerable)
 		receiveReport(m, 4, baseToken)
 	}, reachable},
 	{"direct commands answered in between", func(m *Machine) {
-		m.ApplyReport(newReport(2, baseToken), time.Second, false)
+		m.ApplyReport(newReport(2, baseToken), time.Second, Requested)
 		receiveReport(m, 3, baseToken)
 	}, reachable},
 	{"skips one report, one command lost", func(m *Machine) {
@@ -65,7 +65,7 @@
 	{"unreachable, then an answer to direct commands", func(m *Machine) {
 		receiveReport(m, 3, baseToken)
 		loseCommands(m, 2)
-		m.ApplyReport(newReport(4, baseToken), time.Second, false)
+		m.ApplyReport(newReport(4, baseToken), time.Second, Requested)
 	}, reachable},
 	{"commands lost in a network fault, then it skips reports", func(m *Machine) {
 		loseCommands(m, 5)
@@ -86,16 +86,16 @@
 	{"a new incarnation", func(m *Machine) {
 		report := newReport(1, baseToken)
 		report.Incarnation = 2
-		m.ApplyReport(report, time.Second, true)
+		m.ApplyReport(report, time.Second, Posted)
 	}, probed},
 	{"next report, but without the launch", func(m *Machine) {
 		m.Place(TaskID{"wk-1", 0}, 1, false, 0)
-		m.NextCommands(false, true, 0)
+		m.NextCommands(InAnswer, true, 0)
 		receiveReport(m, 2, baseToken)
 	}, probed},
 	{"skips one report, but shows a launch", func(m *Machine) {
 		m.Place(TaskID{"wk-1", 0}, 1, false, 0)
-		m.NextCommands(false, true, 0)
+		m.NextCommands(InAnswer, true, 0)
 		receiveReport(m, 3, baseToken, protocol.TaskReport{Task: "wk-1/0", Attempt: 1, State: protocol.TaskPullingImage})
 	}, reachable},
 	{"its lease expires", func(m *Machine) {
--- a/internal/agent/reconcile.go
+++ b/internal/agent/reconcile.go
@@ -23,9 +23,20 @@
 	AttemptLost                        // provably gone from the machine, without an end
 )
 
+// ReportOrigin says what made the agent send a report. Only a posted report was made after
+// the answer to the one before was taken or dropped, so only a posted report disproves a
+// launch in an answer.
+type ReportOrigin bool
+
+// The origins of reports.
+const (
+	Requested ReportOrigin = false // the answer to direct commands or to GET /status
+	Posted    ReportOrigin = true  // sent by the agent itself, by POST /v1/report
+)
+
 // reportEvidence is what a report shows about the messages to the agent.
 type reportEvidence struct {
-	posted         bool // the agent sent it by itself, not as the answer to a direct command
+	origin         ReportOrigin
 	newIncarnation bool // of an incarnation that was not known
 	tookEffect     bool // something that we sent took effect
 	launchMissing  bool // a launch in an answer was not executed
@@ -33,19 +44,14 @@
 
 // ApplyReport reconciles the attempts with a report and returns what changed; false if the
 // report is not newer than what is known.
-//
-// posted tells a report that the agent sent by itself (POST /v1/report) from one that
-// answers a direct command or a status request. Only a posted report was made after the
-// answer to the one before was taken or dropped, so only a posted report disproves a launch
-// in an answer.
-func (m *Machine) ApplyReport(report *protocol.Report, now time.Duration, posted bool) ([]Event, bool) {
-	if !posted {
+func (m *Machine) ApplyReport(report *protocol.Report, now time.Duration, origin ReportOrigin) ([]Event, bool) {
+	if origin == Requested {
 		m.confirmReachable()
 	}
 	if !m.isNewer(report) {
 		return nil, false
 	}
-	evidence := &reportEvidence{posted: posted, newIncarnation: report.Incarnation != m.Incarnation}
+	evidence := &reportEvidence{origin: origin, newIncarnation: report.Incarnation != m.Incarnation}
 	m.adoptReport(report, evidence, now)
 	events, listed := m.reconcileListed(report, evidence, now)
 	events = append(events, m.reconcileUnlisted(report, listed, evidence)...)
@@ -88,7 +94,7 @@
 	m.Zone = report.Zone
 	m.Spot = report.Spot
 	m.LastContact = now
-	if evidence.posted {
+	if evidence.origin == Posted {
 		m.LastHeartbeat = now
 	}
 	m.PreemptionNoticed = report.PreemptionNotice != nil
@@ -170,7 +176,7 @@
 		if listed[attempt.AttemptID] || !attempt.MayExist() {
 			continue
 		}
-		switch m.absence(attempt, report, evidence.posted) {
+		switch m.absence(attempt, report, evidence.origin) {
 		case absentAcknowledged:
 			delete(m.Attempts, attempt.AttemptID)
 			if !evidence.newIncarnation {
@@ -201,14 +207,14 @@
 )
 
 // absence says what the report, which does not list the attempt, shows of it.
-func (m *Machine) absence(attempt *Attempt, report *protocol.Report, posted bool) absenceKind {
+func (m *Machine) absence(attempt *Attempt, report *protocol.Report, origin ReportOrigin) absenceKind {
 	if attempt.acknowledgement.sent && attempt.acknowledgement.outdatedBy(report) {
 		return absentAcknowledged
 	}
 	if attempt.State != "" || report.Incarnation != attempt.launch.incarnation {
 		return absentGone
 	}
-	if !m.disprovesLaunch(report, attempt, posted) {
+	if !m.disprovesLaunch(attempt, report, origin) {
 		return absentMayStart
 	}
 	if attempt.StopRequested {
@@ -219,9 +225,9 @@
 
 // disprovesLaunch reports whether a report that does not list the attempt shows that its
 // launch was not, and can no longer be, executed.
-func (m *Machine) disprovesLaunch(report *protocol.Report, attempt *Attempt, posted bool) bool {
-	if attempt.launch.direct {
+func (m *Machine) disprovesLaunch(attempt *Attempt, report *protocol.Report, origin ReportOrigin) bool {
+	if attempt.launch.delivery == Direct {
 		return !m.CommandsUncertain()
 	}
-	return posted && attempt.launch.outdatedBy(report)
+	return origin == Posted && attempt.launch.outdatedBy(report)
 }
--- a/internal/agent/reconcile_test.go
+++ b/internal/agent/reconcile_test.go
@@ -21,51 +21,51 @@
 		return nil
 	}, true},
 	{"launched in an answer, then an answer to commands sent before", func(m *Machine, attempt *Attempt) []Event {
-		m.NextCommands(false, true, 0)
+		m.NextCommands(InAnswer, true, 0)
 		m.RequestStop(attempt, 0)
-		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, false)
+		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, Requested)
 		return events
 	}, false},
 	{"launched in an answer, then the next posted report", func(m *Machine, attempt *Attempt) []Event {
-		m.NextCommands(false, true, 0)
+		m.NextCommands(InAnswer, true, 0)
 		m.RequestStop(attempt, 0)
-		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, true)
+		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, Posted)
 		return events
 	}, true},
 	{"commands still in flight", func(m *Machine, attempt *Attempt) []Event {
-		m.NextCommands(true, true, 0)
+		m.NextCommands(Direct, true, 0)
 		m.CommandsSent()
 		m.RequestStop(attempt, 0)
-		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, true)
+		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, Posted)
 		return events
 	}, false},
 	{"commands lost, agent has not seen a higher token", func(m *Machine, attempt *Attempt) []Event {
-		m.NextCommands(true, true, 0)
+		m.NextCommands(Direct, true, 0)
 		m.CommandsSent()
 		m.CommandsLost(baseToken)
 		m.RequestStop(attempt, 0)
-		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, true)
+		events, _ := m.ApplyReport(newReport(2, baseToken), time.Second, Posted)
 		return events
 	}, false},
 	{"commands lost, agent has seen the higher token", func(m *Machine, attempt *Attempt) []Event {
-		m.NextCommands(true, true, 0)
+		m.NextCommands(Direct, true, 0)
 		m.CommandsSent()
 		m.CommandsLost(baseToken)
 		m.RequestStop(attempt, 0)
-		events, _ := m.ApplyReport(newReport(2, m.FencingToken), time.Second, true)
+		events, _ := m.ApplyReport(newReport(2, m.FencingToken), time.Second, Posted)
 		return events
 	}, true},
 	{"an older report", func(m *Machine, attempt *Attempt) []Event {
-		m.NextCommands(false, true, 0)
+		m.NextCommands(InAnswer, true, 0)
 		m.RequestStop(attempt, 0)
-		events, ok := m.ApplyReport(newReport(1, baseToken), time.Second, true)
+		events, ok := m.ApplyReport(newReport(1, baseToken), time.Second, Posted)
 		if ok {
 			return nil
 		}
 		return events
 	}, false},
 	{"the lease has expired", func(m *Machine, _ *Attempt) []Event {
-		m.NextCommands(false, true, 0)
+		m.NextCommands(InAnswer, true, 0)
 		m.ReportAnswered(2 * time.Second)
 		if !m.LeaseExpired(17*time.Second, 14*time.Second, 0.0005) {
 			return nil
@@ -90,14 +90,14 @@
 // launched since.
 func TestOldReportDoesNotReconcile(t *testing.T) {
 	m := New("i-1", baseToken, 0)
-	m.ApplyReport(newReport(5, baseToken-1), time.Second, true)
+	m.ApplyReport(newReport(5, baseToken-1), time.Second, Posted)
 	if m.Reconciled {
 		t.Error("reconciled by a report under the earlier owner's token")
 	}
-	if commands := m.NextCommands(false, true, 0); len(commands) != 0 {
+	if commands := m.NextCommands(InAnswer, true, 0); len(commands) != 0 {
 		t.Errorf("commands %v before the machine is reconciled", commands)
 	}
-	m.ApplyReport(newReport(6, baseToken), time.Second, true)
+	m.ApplyReport(newReport(6, baseToken), time.Second, Posted)
 	if !m.Reconciled {
 		t.Error("not reconciled by a report under our token")
 	}
@@ -124,7 +124,7 @@
 		if step.state != "" {
 			tasks = append(tasks, protocol.TaskReport{Task: "wk-1/0", Attempt: 3, State: step.state})
 		}
-		events, ok := m.ApplyReport(newReport(sequence, baseToken, tasks...), time.Second, true)
+		events, ok := m.ApplyReport(newReport(sequence, baseToken, tasks...), time.Second, Posted)
 		if !ok || len(events) != len(step.want) {
 			t.Fatalf("report %d with state %q: events %v, %v, want %v", sequence, step.state, events, ok, step.want)
 		}
--- a/internal/shard/runs.go
+++ b/internal/shard/runs.go
@@ -14,9 +14,9 @@
 // This file follows the runs of tasks: what workers say of them, what is stopped.
 
 // HandleReport takes a worker's report; false if it is outdated.
-func (s *Shard) HandleReport(machine *Machine, r *protocol.Report, posted bool) bool {
+func (s *Shard) HandleReport(machine *Machine, r *protocol.Report, origin agent.ReportOrigin) bool {
 	was := machine.Reconciled
-	events, ok := machine.Machine.ApplyReport(r, s.controller.Now(), posted)
+	events, ok := machine.Machine.ApplyReport(r, s.controller.Now(), origin)
 	if !ok {
 		return false
 	}
