--- a/internal/controller/attestation.go
+++ b/internal/controller/attestation.go
@@ -8,75 +8,107 @@
 	"curlewspool/internal/settings"
 )
 
-// This file lets an owner go on answering workers while the state service is away, on
-// the word of all members (off by default; docs/vouch.md). Only controllers confirm
-// cancellations and take keys. So if each of them says what it has learned to be
-// cancelled since the moment of this owner's news, and that it holds none of its keys,
-// then all that was confirmed before the question is known here: it is as good as news
-// and a renewal of that moment. Nothing is started on it (MayLaunch asks for the cache's
-// own age), and users get no answers from it.
+// Attestation lets an owner go on answering workers while the key-value store is
+// unavailable, if all members confirm its ownership (off by default; docs/vouch.md). Only
+// controllers acknowledge cancellations and take keys. So if each member lists the
+// cancellations it has learned of since the owner's cache was current, and says that it
+// holds none of the owner's keys, then the owner knows all that was acknowledged before
+// its question: that is as good as a cache and a lease that were renewed at that moment.
+// No task is started on it (CanLaunch asks for the cache's own age), and users get no
+// answers from it.
 
-// attestation is a round of questions; one that is not answered by all in time says nothing.
+// attestation is a round of questions. It counts only if all members answer in time.
 type attestation struct {
 	id        uint64
 	startedAt time.Duration
-	awaited   map[string]bool // members whose word is missing
+	awaited   map[string]bool // members that have not answered yet
 }
 
-// attestationTimeout is how long a round may take. It is counted into the age that is asked
+// maxAttestedCancellations is how many cancellations one answer may list.
+const maxAttestedCancellations = 1024
+
+// attestationTimeout is how long a round may take. It is added to the age that is asked
 // for, so that a question that was on its way for that long asks for no less.
 func (c *Controller) attestationTimeout() time.Duration { return c.statusInterval() }
 
-// maxAttestedCancellations is how many cancellations one word names.
-const maxAttestedCancellations = 1024
+// canUseAttestation reports whether this controller takes part. With partner clusters it
+// does not: loans end in other ways than by a cancellation (docs/vouch.md).
+func (c *Controller) canUseAttestation() bool {
+	return c.settings.Grants.Vouch && c.federation == nil
+}
 
-// requestAttestation begins a round when the news of an owner grow old.
+// requestAttestation begins a round when the cache of an owner grows old.
 func (c *Controller) requestAttestation() {
 	now := c.env.Now()
-	if !c.settings.Grants.Vouch || c.federation != nil || len(c.registry.HeldKeys()) == 0 || !c.store.Lease.IsValid() ||
-		c.store.Staleness() < 2*c.leaseRenewInterval() || now-c.attestation.startedAt < c.leaseRenewInterval() {
+	if !c.canUseAttestation() || len(c.registry.HeldKeys()) == 0 || !c.store.Lease.IsValid() {
+		return
+	}
+	isCacheRecent := c.store.Staleness() < 2*c.leaseRenewInterval()
+	if isCacheRecent || now-c.attestation.startedAt < c.leaseRenewInterval() {
 		return
 	}
-	c.attestation = attestation{c.attestation.id + 1, now, map[string]bool{}}
-	age := float64(now-c.store.CancellationsKnownAsOf()+c.attestationTimeout()) * (1 + 2*settings.Drift)
-	v := &peermsg.OwnershipConfirmation{Id: c.attestation.id, Keys: c.registry.HeldKeys(), MaxAgeMs: uint32(math.Ceil(age / float64(time.Millisecond)))}
+	c.attestation = attestation{
+		id:        c.attestation.id + 1,
+		startedAt: now,
+		awaited:   map[string]bool{},
+	}
+	age := now - c.store.CancellationsKnownAsOf() + c.attestationTimeout()
+	// By the answering member's clock, which may drift as this one may.
+	longestAge := float64(age) * (1 + 2*settings.Drift)
+	request := &peermsg.OwnershipConfirmation{
+		Id:       c.attestation.id,
+		Keys:     c.registry.HeldKeys(),
+		MaxAgeMs: uint32(math.Ceil(longestAge / float64(time.Millisecond))),
+	}
 	for _, name := range sortedKeys(c.peers) {
 		c.attestation.awaited[name] = true
-		c.env.Send(name, &peermsg.Envelope{Body: &peermsg.Envelope_OwnershipConfirmation{OwnershipConfirmation: v}})
+		c.sendOwnershipConfirmation(name, request)
 	}
 	c.completeAttestation()
 }
 
-// answerAttestation gives an owner this controller's word, if it can.
+// answerAttestation confirms an owner's keys and lists cancellations, if this controller
+// knows all of them.
 func (c *Controller) answerAttestation(owner string, request *peermsg.OwnershipConfirmation) {
-	if !c.settings.Grants.Vouch || c.federation != nil {
+	if !c.canUseAttestation() {
 		return
 	}
 	for _, key := range request.Keys {
-		if c.registry.OwnerOf(key) != owner { // taken, or gone and free to be
+		if c.registry.OwnerOf(key) != owner { // taken by another, or free to be taken
 			return
 		}
 	}
-	ids, ok := c.userAPI.CancelledSince(c.env.Now() - time.Duration(request.MaxAgeMs)*time.Millisecond)
-	if !ok || len(ids) > maxAttestedCancellations {
+	since := c.env.Now() - time.Duration(request.MaxAgeMs)*time.Millisecond
+	jobs, isComplete := c.userAPI.CancelledSince(since)
+	if !isComplete || len(jobs) > maxAttestedCancellations {
 		return
 	}
-	c.env.Send(owner, &peermsg.Envelope{Body: &peermsg.Envelope_OwnershipConfirmation{OwnershipConfirmation: &peermsg.OwnershipConfirmation{Id: request.Id, CancelledJobs: ids}}})
+	c.sendOwnershipConfirmation(owner, &peermsg.OwnershipConfirmation{Id: request.Id, CancelledJobs: jobs})
+}
+
+func (c *Controller) sendOwnershipConfirmation(member string, message *peermsg.OwnershipConfirmation) {
+	c.env.Send(member, &peermsg.Envelope{
+		Body: &peermsg.Envelope_OwnershipConfirmation{OwnershipConfirmation: message},
+	})
 }
 
-// acceptAttestation takes a member's word. What it names is final, however late it comes.
+// acceptAttestation takes a member's answer. The cancellations that it lists are final,
+// however late it comes.
 func (c *Controller) acceptAttestation(member string, answer *peermsg.OwnershipConfirmation) {
 	for _, id := range answer.CancelledJobs {
 		c.applyPeerCancellation(id, c.dependencies.graph.CancellationCause(id))
 	}
-	if answer.Id == c.attestation.id && c.env.Now()-c.attestation.startedAt <= c.attestationTimeout() {
-		delete(c.attestation.awaited, member)
-		c.completeAttestation()
+	isInTime := c.env.Now()-c.attestation.startedAt <= c.attestationTimeout()
+	if answer.Id != c.attestation.id || !isInTime {
+		return
 	}
+	delete(c.attestation.awaited, member)
+	c.completeAttestation()
 }
 
-// completeAttestation: the round counts from when it was asked, if what was vouched for has
-// not lapsed meanwhile.
+// completeAttestation extends the lease to what it would be if it had been renewed when
+// the round began, provided that all members have answered and that it has not expired
+// meanwhile.
 func (c *Controller) completeAttestation() {
 	if len(c.attestation.awaited) == 0 && c.store.Lease.IsValid() {
 		c.store.Lease.ConfirmedByPeersAt = c.attestation.startedAt
--- /dev/null
+++ b/internal/controller/heartbeats.go
@@ -0,0 +1,128 @@
+package controller
+
+import (
+	"net/http"
+	"time"
+
+	"curlewspool/internal/election"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// HeartbeatReply answers a worker's report.
+type HeartbeatReply func(status int, body any)
+
+// heartbeatRefusal is an answer without commands. It does not renew the worker's lease.
+type heartbeatRefusal struct {
+	status int
+	body   protocol.ErrorResponse
+}
+
+func refuseHeartbeat(status int, reason string) *heartbeatRefusal {
+	return &heartbeatRefusal{status: status, body: protocol.ErrorResponse{Error: reason}}
+}
+
+// HandleHeartbeat handles POST /v1/report: it finds the shard of the worker's machine,
+// reconciles what the worker reports with what the shard knows, schedules the machine
+// anew and answers with its commands.
+func (c *Controller) HandleHeartbeat(report *protocol.Report, reply HeartbeatReply) {
+	if err := report.Validate(); err != nil {
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: err.Error()})
+		return
+	}
+	if !c.store.IsLoaded() {
+		reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "starting"})
+		return
+	}
+	now := c.env.Now()
+	record := c.machines[report.Machine]
+	isOwnMachine := record != nil && c.shards[record.Shard] != nil
+	c.reachability.recordReport(report, isOwnMachine, now)
+	if record == nil {
+		c.reportFromUnknownMachine(report, reply)
+		return
+	}
+	owned, machine, refusal := c.findMachine(record)
+	if refusal == nil {
+		refusal = c.reconcileReport(owned, machine, report, now)
+	}
+	if refusal != nil {
+		reply(refusal.status, &refusal.body)
+		return
+	}
+	owned.ScheduleMachine(machine)
+	machine.ReportAnswered(now)
+	commands := nonNilCommands(machine.NextCommands(false, c.CanLaunch(), now))
+	reply(http.StatusOK, &protocol.CommandBatch{FencingToken: machine.FencingToken, Commands: commands})
+}
+
+// findMachine finds a machine in the shard that this controller owns; a refusal sends the
+// worker to the shard's owner.
+func (c *Controller) findMachine(record *shard.MachineRecord) (*shard.Shard, *shard.Machine, *heartbeatRefusal) {
+	owned := c.ownedShard(record.Shard)
+	if owned == nil {
+		return nil, nil, c.refuseWithOwner(record.Shard)
+	}
+	machine := owned.Machines[record.ID]
+	if machine == nil {
+		return nil, nil, refuseHeartbeat(http.StatusServiceUnavailable, "not known yet")
+	}
+	return owned, machine, nil
+}
+
+func (c *Controller) refuseWithOwner(shardID int) *heartbeatRefusal {
+	owner := c.registry.OwnerOf(election.ShardKey(shardID))
+	if owner == "" || owner == c.settings.Name {
+		return refuseHeartbeat(http.StatusServiceUnavailable, "the part has no owner")
+	}
+	refusal := refuseHeartbeat(http.StatusMisdirectedRequest, "not the owner")
+	refusal.body.Owner = owner
+	return refusal
+}
+
+// reconcileReport takes a report into the shard's view of the machine. A refusal says
+// that the report cannot be answered with commands.
+func (c *Controller) reconcileReport(owned *shard.Shard, machine *shard.Machine, report *protocol.Report, now time.Duration) *heartbeatRefusal {
+	if report.FencingToken > machine.FencingToken {
+		// The worker has seen a newer owner, or comes from another shard: an answer with
+		// a lower token would hold it here while its lease runs out.
+		c.claimHigherToken(owned, report.FencingToken)
+		machine.ReportRejected(report, false)
+		return refuseHeartbeat(http.StatusServiceUnavailable, "a higher token is needed")
+	}
+	if !owned.HandleReport(machine, report, true) {
+		if mayBeRestarted := machine.ReportRejected(report, true); mayBeRestarted {
+			c.queryMachine(owned, machine)
+		}
+		return refuseHeartbeat(http.StatusServiceUnavailable, "outdated report")
+	}
+	switch {
+	case machine.IsUnreachable():
+		machine.ReportRejected(report, false)
+		return refuseHeartbeat(http.StatusServiceUnavailable, "does not hear")
+	case owned.ShouldDelayAnswer(machine, now):
+		machine.ReportRejected(report, false)
+		return refuseHeartbeat(http.StatusServiceUnavailable, "waits for a partner's word")
+	case machine.StopsExceedAnswer(now):
+		machine.ReportRejected(report, false)
+		c.SendOrders(owned, machine)
+		return refuseHeartbeat(http.StatusServiceUnavailable, "more is to stop than an answer holds")
+	}
+	return nil
+}
+
+// claimHigherToken claims an owned shard again for a fencing token above one that a worker
+// has seen. A token that the registry cannot have issued says nothing.
+func (c *Controller) claimHigherToken(owned *shard.Shard, seen uint64) {
+	if c.registry.IsTokenIssued(seen) {
+		c.registry.Claim(election.ShardKey(owned.ID), false)
+	}
+}
+
+// nonNilCommands makes an empty list be encoded as a list.
+func nonNilCommands(commands []protocol.Command) []protocol.Command {
+	if commands == nil {
+		return []protocol.Command{}
+	}
+	return commands
+}
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -9,15 +9,15 @@
 	"curlewspool/internal/shard"
 )
 
-// This file is what the slices ask of their controller.
+// This file holds what the components (shard, userapi, federation) ask of their controller.
 
-// Now is the steady clock.
+// Now is the monotonic time since the start of the process.
 func (c *Controller) Now() time.Duration { return c.env.Now() }
 
-// WallSeconds is the time of day, in seconds.
+// WallSeconds is the time of day, in seconds since the Unix epoch.
 func (c *Controller) WallSeconds() float64 { return float64(c.env.Wall().UnixMilli()) / 1000 }
 
-// Store is the controller's view of the state service.
+// Store is the controller's view of the key-value store.
 func (c *Controller) Store() *kvstore.Store { return c.store }
 
 // Settings are those of the platform and of the operators.
@@ -32,72 +32,103 @@
 // Job is a live job's record in the cache; nil: there is none that can be read.
 func (c *Controller) Job(id string) *shard.JobRecord { return c.jobs[id] }
 
-// CanLaunch tells whether the cache is recent enough for tasks to be started. With
-// an older one a job could be started that its user was told is cancelled.
+// CanLaunch reports whether the cache is recent enough for tasks to be started. With an
+// older one a job could be started after its user was told that it is cancelled.
 func (c *Controller) CanLaunch() bool {
 	return c.store.IsLoaded() && c.store.Lease.IsValid() && c.store.Staleness() < c.maxLaunchStaleness()
 }
 
-// maxLaunchStaleness: a watch is answered after at most its hold time when nothing
-// changes, so a syncing tick keeps the cache younger than this.
+// maxLaunchStaleness is the age of the cache at which no more tasks are started. A watch
+// is answered after at most its hold time when nothing changes, and every tick refreshes
+// an older cache, so that it normally stays younger than this.
 func (c *Controller) maxLaunchStaleness() time.Duration {
-	return max(time.Second, time.Duration(c.settings.Deployment.Workers.Report*float64(time.Second)))
+	return max(time.Second, c.reportInterval())
 }
 
-// JobProgress is what the ledger says of a live job's tasks.
-func (c *Controller) JobProgress(id string) (doneTasks, running int, started bool) {
-	rec := c.jobs[id]
-	if rec == nil {
+// JobProgress is what the store says of a live job's tasks: how many are done, how many
+// run, and whether any of it has begun.
+func (c *Controller) JobProgress(id string) (done, running int, started bool) {
+	record := c.jobs[id]
+	if record == nil {
 		return 0, 0, false
 	}
-	for _, p := range c.progress[id] {
-		started = true
-		running += p.Running
-		for _, r := range p.DoneRanges {
-			doneTasks += r[1] - r[0] + 1
+	if len(record.DoneRanges) > 0 || len(record.LentChunks) > 0 {
+		// Some of it was, or is, at a partner cluster.
+		ranges, runningThere := c.StoredProgress(id)
+		done, running, started = countTasks(ranges), runningThere, true
+	} else {
+		for _, progress := range c.progress[id] {
+			started = true
+			running += progress.Running
+			done += countTasks(progress.DoneRanges)
 		}
 	}
-	if len(rec.DoneRanges) > 0 || len(rec.LentChunks) > 0 { // some of it was, or is, at a partner
-		ranges, abroad := c.StoredProgress(id)
-		doneTasks, running, started = 0, abroad, true
-		for _, r := range ranges {
-			doneTasks += r[1] - r[0] + 1
-		}
+	done = min(done, record.Job.Tasks)
+	return done, min(running, record.Job.Tasks-done), started
+}
+
+// countTasks counts the tasks of inclusive ranges.
+func countTasks(ranges [][2]int) int {
+	tasks := 0
+	for _, r := range ranges {
+		tasks += r[1] - r[0] + 1
 	}
-	doneTasks = min(doneTasks, rec.Job.Tasks)
-	return doneTasks, min(running, rec.Job.Tasks-doneTasks), started
+	return tasks
 }
 
-// Deadlines of a job: one without its own has those that the objectives set
-// for its class (ours).
-func (c *Controller) Deadlines(j *protocol.Job) []float64 {
-	if j.Deadline > 0 {
-		return []float64{j.Deadline}
+// Deadlines lists a job's deadlines, in seconds after its submission: its own, or those
+// that the service-level objectives set for its class.
+func (c *Controller) Deadlines(job *protocol.Job) []float64 {
+	if job.Deadline > 0 {
+		return []float64{job.Deadline}
 	}
-	d, ok := c.classDeadlines[j.Class]
+	deadlines, ok := c.classDeadlines[job.Class]
 	if !ok {
-		d = c.settings.Deadlines(j.Class)
-		c.classDeadlines[j.Class] = d
+		deadlines = c.settings.Deadlines(job.Class)
+		c.classDeadlines[job.Class] = deadlines
 	}
-	return d
+	return deadlines
+}
+
+// teamDemandMaxAge is how long sums of the teams' demand are reused.
+const teamDemandMaxAge = time.Second / 4
+
+// teamDemand is what a team's unfinished tasks ask for.
+type teamDemand struct {
+	cores float64
+	gpus  float64
 }
 
-// TeamDemand sums a team's unfinished jobs.
+// teamDemandCache holds the demand of all teams as of a moment.
+type teamDemandCache struct {
+	byTeam     map[string]teamDemand // nil: not summed yet
+	computedAt time.Duration
+}
+
+// TeamDemand sums the cores and GPUs of a team's unfinished tasks. The sum may be a quarter
+// of a second old.
 func (c *Controller) TeamDemand(team string) (cores, gpus float64) {
 	now := c.env.Now()
-	if c.teamDemands == nil || now-c.teamDemandsAt > time.Second/4 {
-		c.teamDemands, c.teamDemandsAt = map[string][2]float64{}, now
-		for id, rec := range c.jobs {
-			if rec.AwaitsDependencies() {
-				continue // it holds nothing of a guarantee
-			}
-			done, _, _ := c.JobProgress(id)
-			t := c.teamDemands[rec.Job.Team]
-			t[0] += rec.Job.Cores * float64(rec.Job.Tasks-done)
-			t[1] += rec.Job.GPUs * float64(rec.Job.Tasks-done)
-			c.teamDemands[rec.Job.Team] = t
+	cache := &c.teamDemands
+	if cache.byTeam == nil || now-cache.computedAt > teamDemandMaxAge {
+		*cache = teamDemandCache{byTeam: c.sumTeamDemands(), computedAt: now}
+	}
+	demand := cache.byTeam[team]
+	return demand.cores, demand.gpus
+}
+
+func (c *Controller) sumTeamDemands() map[string]teamDemand {
+	byTeam := map[string]teamDemand{}
+	for id, record := range c.jobs {
+		if record.AwaitsDependencies() {
+			continue // it uses nothing of a guarantee
 		}
+		done, _, _ := c.JobProgress(id)
+		unfinished := float64(record.Job.Tasks - done)
+		demand := byTeam[record.Job.Team]
+		demand.cores += record.Job.Cores * unfinished
+		demand.gpus += record.Job.GPUs * unfinished
+		byTeam[record.Job.Team] = demand
 	}
-	t := c.teamDemands[team]
-	return t[0], t[1]
+	return byTeam
 }
--- /dev/null
+++ b/internal/controller/httpserver.go
@@ -0,0 +1,190 @@
+package controller
+
+import (
+	"bytes"
+	"errors"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/gofiber/fiber/v2"
+
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/userapi"
+)
+
+const (
+	cborContentType = "application/cbor"
+	debugStatePath  = "/debug/state"
+	// commandTimeout bounds how long a request waits for the owner's answer.
+	commandTimeout = 4 * time.Second
+	// retryAfterSeconds is the Retry-After of requests that the server itself refuses.
+	retryAfterSeconds = 1
+	// minServerConcurrency is the least number of connections served at once.
+	minServerConcurrency = 64
+)
+
+// httpServer serves users, workers, the load balancer and operators. It turns each
+// request into a command for the owner's goroutine and waits for the answer.
+type httpServer struct {
+	loop       *ownerLoop
+	controller *Controller
+}
+
+// response is the answer to one request.
+type response struct {
+	status           int
+	body             any
+	retryAfter       int // seconds; 0: no such header
+	closesConnection bool
+}
+
+func errorResponse(status int, message string) response {
+	return response{status: status, body: &protocol.ErrorResponse{Error: message}}
+}
+
+func retryLater(message string) response {
+	r := errorResponse(http.StatusServiceUnavailable, message)
+	r.retryAfter = retryAfterSeconds
+	return r
+}
+
+// serve accepts connections until the listener fails.
+func (s *httpServer) serve(listener net.Listener, maxSockets int) error {
+	app := fiber.New(fiber.Config{
+		DisableStartupMessage: true,
+		BodyLimit:             2 * protocol.MaxBodyBytes, // larger than allowed, so that such bodies get a proper 400
+		Concurrency:           max(minServerConcurrency, maxSockets*3/4),
+		ReadTimeout:           30 * time.Second,
+		WriteTimeout:          5 * time.Second,
+		IdleTimeout:           60 * time.Second,
+		ReadBufferSize:        4 << 10,
+		WriteBufferSize:       4 << 10,
+		ReduceMemoryUsage:     false,
+		DisableDefaultDate:    true,
+		ErrorHandler:          handleServerError,
+	})
+	app.Get("/up", s.handleHealthCheck)
+	app.Post("/v1/report", s.handleReport)
+	app.Post("/v2/runs", s.handleSubmit)
+	app.Get("/v2/runs/:id", s.handlePoll)
+	app.Post("/v2/runs/:id/abort", s.handleCancel)
+	app.Get(debugStatePath, s.handleDebugState)
+	return app.Listener(listener)
+}
+
+// handleServerError answers what no handler answered, such as an unknown path.
+func handleServerError(ctx *fiber.Ctx, err error) error {
+	status := http.StatusInternalServerError
+	var serverError *fiber.Error
+	if errors.As(err, &serverError) {
+		status = serverError.Code
+	}
+	if status == http.StatusRequestEntityTooLarge {
+		status = http.StatusBadRequest
+	}
+	return writeResponse(ctx, errorResponse(status, err.Error()))
+}
+
+func (s *httpServer) handleHealthCheck(ctx *fiber.Ctx) error {
+	return s.runCommand(ctx, func(respond func(response)) {
+		if !s.controller.IsHealthy() {
+			respond(retryLater("not ready"))
+			return
+		}
+		respond(response{status: http.StatusOK, body: map[string]string{"status": "up"}})
+	})
+}
+
+func (s *httpServer) handleReport(ctx *fiber.Ctx) error {
+	report := &protocol.Report{}
+	if err := protocol.Decode(ctx.Body(), report); err != nil {
+		return writeResponse(ctx, errorResponse(http.StatusBadRequest, "not a report"))
+	}
+	return s.runCommand(ctx, func(respond func(response)) {
+		s.controller.HandleHeartbeat(report, func(status int, body any) {
+			respond(response{status: status, body: body})
+		})
+	})
+}
+
+func (s *httpServer) handleSubmit(ctx *fiber.Ctx) error {
+	// The server reuses the memory of a request; the command outlives a timeout.
+	body := bytes.Clone(ctx.Body())
+	receivedAt := time.Now()
+	return s.runCommand(ctx, func(respond func(response)) {
+		s.controller.Submit(body, time.Since(receivedAt), s.userReply(respond))
+	})
+}
+
+func (s *httpServer) handlePoll(ctx *fiber.Ctx) error {
+	id := strings.Clone(ctx.Params("id"))
+	return s.runCommand(ctx, func(respond func(response)) {
+		s.controller.Poll(id, s.userReply(respond))
+	})
+}
+
+func (s *httpServer) handleCancel(ctx *fiber.Ctx) error {
+	id := strings.Clone(ctx.Params("id"))
+	return s.runCommand(ctx, func(respond func(response)) {
+		s.controller.Cancel(id, s.userReply(respond))
+	})
+}
+
+func (s *httpServer) handleDebugState(ctx *fiber.Ctx) error {
+	return s.runCommand(ctx, func(respond func(response)) {
+		respond(response{status: http.StatusOK, body: s.controller.DebugState()})
+	})
+}
+
+// userReply answers users. The load balancer does not move their connections to
+// another controller: one that cannot serve them closes them, so that the retry
+// reaches another.
+func (s *httpServer) userReply(respond func(response)) userapi.Reply {
+	return func(status int, body any, retryAfter int) {
+		respond(response{
+			status:           status,
+			body:             body,
+			retryAfter:       retryAfter,
+			closesConnection: status == http.StatusServiceUnavailable && !s.controller.IsHealthy(),
+		})
+	}
+}
+
+// runCommand runs a command on the owner's goroutine and waits for its response, the
+// first if there are several.
+func (s *httpServer) runCommand(ctx *fiber.Ctx, command func(respond func(response))) error {
+	if s.loop.isOverloaded() {
+		return writeResponse(ctx, retryLater("overloaded"))
+	}
+	responses := make(chan response, 1)
+	s.loop.submit(func() {
+		command(func(r response) {
+			select {
+			case responses <- r:
+			default: // answered already
+			}
+		})
+	})
+	timer := time.NewTimer(commandTimeout)
+	defer timer.Stop()
+	select {
+	case r := <-responses:
+		return writeResponse(ctx, r)
+	case <-timer.C:
+		return writeResponse(ctx, retryLater("slow"))
+	}
+}
+
+func writeResponse(ctx *fiber.Ctx, r response) error {
+	if r.retryAfter > 0 {
+		ctx.Set(fiber.HeaderRetryAfter, strconv.Itoa(r.retryAfter))
+	}
+	if r.closesConnection {
+		ctx.Context().SetConnectionClose()
+	}
+	ctx.Set(fiber.HeaderContentType, cborContentType)
+	return ctx.Status(r.status).Send(protocol.Encode(r.body))
+}
--- /dev/null
+++ b/internal/controller/keychanges.go
@@ -0,0 +1,193 @@
+package controller
+
+import (
+	"log/slog"
+	"strconv"
+	"strings"
+
+	"curlewspool/internal/env"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// Prefixes of the cached keys. The rosters' prefix is rosterKeyPrefix.
+const (
+	ownerKeyPrefix    = "a/o/"
+	livenessKeyPrefix = "a/h/"
+	jobKeyPrefix      = "a/j/"
+	progressKeyPrefix = "a/p/"
+)
+
+// onKeyChange handles a change of a cached key; value is nil if the key is deleted. The
+// empty key says that all changes up to some revision have been handled.
+func (c *Controller) onKeyChange(key string, value []byte) {
+	switch {
+	case key == "":
+		c.onCacheAdvanced()
+	case strings.HasPrefix(key, ownerKeyPrefix):
+		c.registry.ApplyChange(key, value)
+	case strings.HasPrefix(key, livenessKeyPrefix):
+		c.onLivenessChange(strings.TrimPrefix(key, livenessKeyPrefix), value)
+	case strings.HasPrefix(key, jobKeyPrefix):
+		c.onJobChange(key, value)
+	case strings.HasPrefix(key, progressKeyPrefix):
+		c.onProgressChange(key, value)
+	case strings.HasPrefix(key, rosterKeyPrefix):
+		c.applyRoster(key, value)
+	}
+}
+
+func (c *Controller) onCacheAdvanced() {
+	c.dropDepartedMachines()
+	c.eachShard(func(owned *shard.Shard) { owned.CacheAdvanced() })
+	c.processDependencies()
+}
+
+// onLivenessChange notes that a member has renewed its liveness key. What the cache loads
+// first may be old and is not counted.
+func (c *Controller) onLivenessChange(name string, value []byte) {
+	if member := c.peers[name]; member != nil && value != nil && c.store.IsLoaded() {
+		member.livenessSeenAt = c.env.Now()
+	}
+}
+
+func (c *Controller) onJobChange(key string, value []byte) {
+	id := strings.TrimPrefix(key, jobKeyPrefix)
+	if value == nil {
+		c.onJobEnded(id)
+		return
+	}
+	record := &shard.JobRecord{}
+	if err := protocol.Decode(value, record); err != nil {
+		slog.Error("controller: invalid job record", "job", id, "error", err)
+		return
+	}
+	c.onJobRecord(id, record)
+}
+
+// onJobEnded handles the deletion of a job's record.
+func (c *Controller) onJobEnded(id string) {
+	graph := c.dependencies.graph
+	if graph.IsNeeded(id) && c.ownsShardOf(id) {
+		c.AnnounceChange(id) // dependent jobs wait for its end
+	}
+	delete(c.jobs, id)
+	delete(c.knownCancelled, id)
+	upstream := graph.Upstream(id)
+	graph.Remove(id)
+	c.refreshInherited(upstream)
+	if c.federation != nil {
+		c.federation.JobChanged(id, nil)
+	}
+	if c.progress[id] != nil {
+		c.progressCleanup.orphanedJobs[id] = true
+	}
+	c.eachShard(func(owned *shard.Shard) { owned.UpdateJob(id, nil, 0) })
+}
+
+// onJobRecord handles a new or changed job record.
+func (c *Controller) onJobRecord(id string, record *shard.JobRecord) {
+	previous := c.jobs[id]
+	c.jobs[id] = record
+	graph := c.dependencies.graph
+	graph.Update(id, record.Job.Dependencies, record.AwaitsDependencies(), termsOf(record))
+	c.refreshInherited(graph.Upstream(id))
+	if record.AwaitsDependencies() {
+		return // before its release it concerns neither a shard nor capacity
+	}
+	isNew := previous == nil || previous.AwaitsDependencies()
+	if isNew && record.Loan == nil {
+		c.arrivals.Record(&record.Job, env.Seconds(record.AcceptedAt), env.Seconds(c.WallSeconds()))
+	}
+	c.noteLargeJob(&record.Job)
+	if c.federation != nil {
+		c.federation.JobChanged(id, record)
+	}
+	if c.knownCancelled[id] {
+		return // a late answer to this controller's own write from before the job's end
+	}
+	entry, _ := c.store.Get(shard.JobKey(id))
+	c.eachShard(func(owned *shard.Shard) {
+		owned.UpdateJob(id, record, entry.Revision)
+		c.deliverProgress(owned, id)
+	})
+}
+
+func (c *Controller) onProgressChange(key string, value []byte) {
+	id, shardID, ok := parseProgressKey(key)
+	if !ok {
+		return
+	}
+	if value == nil {
+		c.removeProgress(id, shardID)
+		return
+	}
+	progress := &shard.Progress{}
+	if err := protocol.Decode(value, progress); err != nil {
+		slog.Error("controller: invalid progress record", "job", id, "shard", shardID, "error", err)
+		return
+	}
+	if c.progress[id] == nil {
+		c.progress[id] = map[int]*shard.Progress{}
+	}
+	c.progress[id][shardID] = progress
+	if c.store.IsLoaded() && c.jobs[id] == nil {
+		c.progressCleanup.orphanedJobs[id] = true
+	}
+	c.eachShard(func(owned *shard.Shard) { owned.UpdateProgress(id, shardID, progress) })
+}
+
+func (c *Controller) removeProgress(id string, shardID int) {
+	delete(c.progress[id], shardID)
+	if len(c.progress[id]) == 0 {
+		delete(c.progress, id)
+		delete(c.progressCleanup.orphanedJobs, id)
+	}
+}
+
+// parseProgressKey splits the key of a job's progress in one shard, as shard.ProgressKey
+// makes it: the shard's ID follows the last slash.
+func parseProgressKey(key string) (id string, shardID int, ok bool) {
+	name := strings.TrimPrefix(key, progressKeyPrefix)
+	slash := strings.LastIndexByte(name, '/')
+	if slash < 0 {
+		return "", 0, false
+	}
+	shardID, err := strconv.Atoi(name[slash+1:])
+	return name[:slash], shardID, err == nil
+}
+
+// onStoreReset discards everything that was read from the store: the cache is void.
+// Shards are given up rather than told that their jobs and machines are gone, which only
+// a deletion says.
+func (c *Controller) onStoreReset() {
+	c.registry.DropAllHeld()
+	c.registry.ResetOwners()
+	c.jobs = map[string]*shard.JobRecord{}
+	c.progress = map[string]map[int]*shard.Progress{}
+	c.machines = map[string]*shard.MachineRecord{}
+	c.progressCleanup.orphanedJobs = map[string]bool{}
+	c.machinesByRosterKey = map[string][]string{}
+	c.leftRosterKey = nil
+	c.knownCancelled = map[string]bool{} // what is read from now on is newer than these jobs' ends
+	c.resetDependencies()
+	if c.federation != nil {
+		c.federation.Reset()
+	}
+}
+
+// ownsShardOf reports whether some of a job is in a shard of this controller.
+func (c *Controller) ownsShardOf(id string) bool {
+	owns := false
+	c.eachShard(func(owned *shard.Shard) { owns = owns || owned.Jobs[id] != nil })
+	return owns
+}
+
+// deliverProgress gives a shard the stored progress of a job in all shards.
+func (c *Controller) deliverProgress(owned *shard.Shard, id string) {
+	for shardID := range c.controllerNames {
+		if progress := c.progress[id][shardID]; progress != nil {
+			owned.UpdateProgress(id, shardID, progress)
+		}
+	}
+}
--- /dev/null
+++ b/internal/controller/liveness.go
@@ -0,0 +1,49 @@
+package controller
+
+import (
+	"time"
+
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+)
+
+// livenessPublisher tracks the writes of this controller's liveness key.
+type livenessPublisher struct {
+	isWritePending bool
+	writtenAt      time.Duration
+}
+
+// livenessRecord is the value of a liveness key. The nonce tells whose write it was.
+type livenessRecord struct {
+	Nonce string `cbor:"w"`
+}
+
+func livenessKey(name string) string { return livenessKeyPrefix + name }
+
+// publishLiveness renews this controller's liveness key in the store while the messages
+// of some member do not arrive. A zone that is cut off with a controller inside goes on
+// working; taking that controller's shards away would only end the leases of workers
+// that no other controller reaches.
+func (c *Controller) publishLiveness(now time.Duration) {
+	allAlive := true
+	for name := range c.peers {
+		allAlive = allAlive && c.isPeerAlive(name)
+	}
+	if allAlive || !c.isReady() || c.liveness.isWritePending || now-c.liveness.writtenAt < c.workerLease()/12 {
+		return
+	}
+	c.liveness = livenessPublisher{isWritePending: true, writtenAt: now}
+	key := livenessKey(c.settings.Name)
+	c.store.Write(kvstore.PriorityNormal, &kvstore.WriteRequest{
+		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
+			conditions := []protocol.Condition{c.store.UnchangedCondition(key)}
+			put := protocol.Mutation{
+				Put:   key,
+				Value: protocol.Encode(&livenessRecord{Nonce: nonce}),
+				Lease: c.store.Lease.ID,
+			}
+			return conditions, []protocol.Mutation{put}
+		},
+		Done: func(bool, uint64) { c.liveness.isWritePending = false },
+	})
+}
--- a/internal/controller/partnertransport.go
+++ b/internal/controller/partnertransport.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"log/slog"
 	"net"
+	"net/http"
 	"strings"
 	"time"
 
@@ -11,127 +12,189 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/pki"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
 )
 
-// partnerTransport is the way to and from other clusters: a listener of its own, a
-// client for each partner, all bounded, so that a slow or hostile one holds
-// neither the owner nor the sockets that users and workers need.
+// Bounds for each partner.
+const (
+	maxPartnerConnections = 4 // connections to one of its controllers
+	maxPartnerCalls       = 8 // requests in flight
+	minPartnerRequestRate = 4 // requests accepted per second, at least
+)
+
+// minPartnerListenerConnections is the least number of connections that the partners'
+// listener accepts at once, from all of them together.
+const minPartnerListenerConnections = 16
+
+// partnerTransport carries requests to and from other clusters, over mutual TLS: a
+// listener of its own and a client for each partner, all bounded, so that a slow or
+// hostile one holds neither the owner nor the sockets that users and workers need.
 type partnerTransport struct {
-	loop            *Loop
+	server          *httpServer
+	environment     *processEnvironment
 	keyring         *pki.Store
-	clients         map[string]*fasthttp.Client
-	callSlots       map[string]chan struct{}
-	rateLimiters    map[string]*rate.Limiter
-	refusalLogLimit rate.Sometimes // spaces lines about refused requests in the log
+	links           map[string]*partnerLink // by partner
+	refusalLogLimit rate.Sometimes          // bounds the log lines about refused requests
 }
 
-// Bounds for each partner.
-const (
-	maxPartnerConnections = 4 // connections to one controller of it
-	maxPartnerCalls       = 8 // requests under way
-)
+// partnerLink is what is kept for one partner.
+type partnerLink struct {
+	client    *fasthttp.Client
+	callSlots chan struct{} // one entry for each request in flight
+	limiter   *rate.Limiter // of the requests it makes here
+}
 
-func openPartnerTransport(loop *Loop, cfg *settings.Settings) (*partnerTransport, error) {
+func openPartnerTransport(server *httpServer, environment *processEnvironment, cfg *settings.Settings) (*partnerTransport, error) {
 	f := cfg.Federation
-	var peers []pki.Partner
-	for _, transport := range f.Partners {
-		ca := transport.CA
-		if ca == "" {
-			ca = f.CA
-		}
-		peers = append(peers, pki.Partner{Name: transport.Name, CA: ca, Pins: transport.Pins})
-	}
-	ring, err := pki.Open(f.Cert, f.Key, peers)
+	keyring, err := pki.Open(f.Cert, f.Key, partnerIdentities(f))
 	if err != nil {
 		return nil, err
 	}
-	transport := &partnerTransport{loop: loop, keyring: ring, clients: map[string]*fasthttp.Client{}, callSlots: map[string]chan struct{}{}, rateLimiters: map[string]*rate.Limiter{},
-		refusalLogLimit: rate.Sometimes{Interval: time.Second}}
-	// Some requests need the state service's word: a partner may use up an
-	// eighth of what that allows, from all its controllers to this one.
-	perSecond := max(4, int(cfg.Deployment.State.RPS/8))
+	transport := &partnerTransport{
+		server:          server,
+		environment:     environment,
+		keyring:         keyring,
+		links:           map[string]*partnerLink{},
+		refusalLogLimit: rate.Sometimes{Interval: time.Second},
+	}
+	// Some requests need an answer of the key-value store: a partner may use up an
+	// eighth of what its limit allows, from all its controllers to this one.
+	requestRate := max(minPartnerRequestRate, int(cfg.Deployment.State.RPS/8))
 	for _, partner := range f.Partners {
-		transport.clients[partner.Name] = &fasthttp.Client{
-			Dial:                      func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, 2*time.Second) },
-			TLSConfig:                 ring.ClientConfig(partner.Name),
-			MaxIdemponentCallAttempts: 1, MaxConnsPerHost: maxPartnerConnections,
-			MaxIdleConnDuration: 20 * time.Second,
-			// A renewed certificate is shown within a minute.
-			MaxConnDuration: time.Minute,
-			ReadTimeout:     5 * time.Second, WriteTimeout: 5 * time.Second, MaxResponseBodySize: 2 * protocol.MaxBodyBytes,
-			NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
-		}
-		transport.callSlots[partner.Name] = make(chan struct{}, maxPartnerCalls)
-		transport.rateLimiters[partner.Name] = rate.NewLimiter(rate.Limit(perSecond), perSecond)
+		transport.links[partner.Name] = newPartnerLink(keyring, partner.Name, requestRate)
 	}
 	listener, err := net.Listen("tcp4", f.Listen)
 	if err != nil {
 		return nil, err
 	}
-	maxOpen := max(16, cfg.Deployment.Limits.Sockets/16)
-	app := fiber.New(fiber.Config{DisableStartupMessage: true, BodyLimit: 2 * protocol.MaxBodyBytes, Concurrency: maxOpen, ReadTimeout: 10 * time.Second,
-		WriteTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second, DisableDefaultDate: true,
-		ErrorHandler: func(c *fiber.Ctx, err error) error {
-			return writeResponse(c, response{status: 400, body: &protocol.ErrorResponse{Error: err.Error()}})
-		}})
-	app.Post("/v1/*", transport.handleRequest)
-	go func() {
-		if err := app.Listener(pki.Listen(listener, ring.ServerConfig(), maxOpen)); err != nil {
-			slog.Error("federation: the listener ended", "err", err)
-		}
-	}()
-	slog.Info("federation: on", "cluster", f.Cluster, "listen", f.Listen, "partners", len(f.Partners))
+	go transport.serve(listener, max(minPartnerListenerConnections, cfg.Deployment.Limits.Sockets/16))
+	slog.Info("federation: enabled", "cluster", f.Cluster, "listen", f.Listen, "partners", len(f.Partners))
 	return transport, nil
 }
 
-func (t *partnerTransport) handleRequest(c *fiber.Ctx) error {
-	from, err := t.keyring.Identify(c.Context().TLSConnectionState())
+// partnerIdentities lists the certificates by which partners are known.
+func partnerIdentities(f *settings.Federation) []pki.Partner {
+	var partners []pki.Partner
+	for _, partner := range f.Partners {
+		ca := partner.CA
+		if ca == "" {
+			ca = f.CA
+		}
+		partners = append(partners, pki.Partner{Name: partner.Name, CA: ca, Pins: partner.Pins})
+	}
+	return partners
+}
+
+func newPartnerLink(keyring *pki.Store, partner string, requestRate int) *partnerLink {
+	client := &fasthttp.Client{
+		Dial:                      dialTCP,
+		TLSConfig:                 keyring.ClientConfig(partner),
+		MaxIdemponentCallAttempts: 1,
+		MaxConnsPerHost:           maxPartnerConnections,
+		MaxIdleConnDuration:       20 * time.Second,
+		MaxConnDuration:           time.Minute, // within which a renewed certificate is shown
+		ReadTimeout:               5 * time.Second,
+		WriteTimeout:              5 * time.Second,
+		MaxResponseBodySize:       2 * protocol.MaxBodyBytes,
+		NoDefaultUserAgentHeader:  true,
+		DisablePathNormalizing:    true,
+	}
+	return &partnerLink{
+		client:    client,
+		callSlots: make(chan struct{}, maxPartnerCalls),
+		limiter:   rate.NewLimiter(rate.Limit(requestRate), requestRate),
+	}
+}
+
+// serve accepts the partners' connections until the listener fails.
+func (t *partnerTransport) serve(listener net.Listener, maxConnections int) {
+	app := fiber.New(fiber.Config{
+		DisableStartupMessage: true,
+		BodyLimit:             2 * protocol.MaxBodyBytes,
+		Concurrency:           maxConnections,
+		ReadTimeout:           10 * time.Second,
+		WriteTimeout:          5 * time.Second,
+		IdleTimeout:           30 * time.Second,
+		DisableDefaultDate:    true,
+		ErrorHandler: func(ctx *fiber.Ctx, err error) error {
+			return writeResponse(ctx, errorResponse(http.StatusBadRequest, err.Error()))
+		},
+	})
+	app.Post("/v1/*", t.handleRequest)
+	if err := app.Listener(pki.Listen(listener, t.keyring.ServerConfig(), maxConnections)); err != nil {
+		slog.Error("federation: listener failed", "error", err)
+	}
+}
+
+func (t *partnerTransport) handleRequest(ctx *fiber.Ctx) error {
+	partner, err := t.keyring.Identify(ctx.Context().TLSConnectionState())
 	if err != nil {
-		t.refusalLogLimit.Do(func() { slog.Info("federation: request refused", "addr", c.Context().RemoteAddr(), "why", err) })
-		c.Context().SetConnectionClose()
-		return writeResponse(c, response{status: 403, body: &protocol.ErrorResponse{Error: "not a partner: " + err.Error()}})
+		t.refusalLogLimit.Do(func() {
+			slog.Info("federation: request refused", "address", ctx.Context().RemoteAddr(), "error", err)
+		})
+		ctx.Context().SetConnectionClose()
+		return writeResponse(ctx, errorResponse(http.StatusForbidden, "not a partner: "+err.Error()))
 	}
-	if !t.rateLimiters[from].Allow() {
-		return writeResponse(c, response{status: 429, body: &protocol.ErrorResponse{Error: "too many requests"}, retryAfter: 1})
+	if !t.links[partner].limiter.Allow() {
+		refusal := errorResponse(http.StatusTooManyRequests, "too many requests")
+		refusal.retryAfter = retryAfterSeconds
+		return writeResponse(ctx, refusal)
 	}
-	path, body := strings.Clone(c.Path()), bytes.Clone(c.Body())
-	return t.loop.runCommand(c, func(r func(response)) { t.loop.controller.HandlePartnerRequest(from, path, body, replier(r)) })
+	// The server reuses the memory of a request; the command outlives a timeout.
+	path, body := strings.Clone(ctx.Path()), bytes.Clone(ctx.Body())
+	return t.server.runCommand(ctx, func(respond func(response)) {
+		t.server.controller.HandlePartnerRequest(partner, path, body, func(status int, body any, retryAfter int) {
+			respond(response{status: status, body: body, retryAfter: retryAfter})
+		})
+	})
 }
 
-// CallPartner makes one request to a partner's controller.
-func (t *partnerTransport) CallPartner(partner, address, path string, in, out any, timeout time.Duration, done func(int)) {
-	client := t.clients[partner]
-	if client == nil {
-		t.loop.After(timeout, func() { done(0) })
+// CallPartner makes one request to a partner's controller; done runs on the owner's
+// goroutine, with env.NoAnswer if there is no answer in time and with status 429 if too
+// many requests are in flight already.
+func (t *partnerTransport) CallPartner(partner, address, path string, in, out any, timeout time.Duration, done func(status int)) {
+	link := t.links[partner]
+	if link == nil {
+		t.environment.After(timeout, func() { done(env.NoAnswer) })
 		return
 	}
 	select {
-	case t.callSlots[partner] <- struct{}{}:
-	default: // enough wait for it already
-		t.loop.After(timeout/2, func() { done(429) })
+	case link.callSlots <- struct{}{}:
+	default:
+		t.environment.After(timeout/2, func() { done(http.StatusTooManyRequests) })
 		return
 	}
+	request := outgoingRequest{method: http.MethodPost, url: "https://" + address + path, body: in, timeout: timeout}
 	go func() {
-		status := doRequest(client, "POST", "https://"+address+path, in, timeout, func(status int, body []byte) int {
-			switch {
-			case status == 200 && protocol.Decode(body, out) != nil:
-				slog.Error("federation: answer not understood", "partner", partner, "path", path)
-				return 0
-			case status == 403 || status == 409:
-				slog.Info("federation: refused by a partner", "partner", partner, "path", path, "status", status, "why", problemText(body))
-			}
-			return status
+		status := request.do(link.client, func(status int, body []byte) int {
+			return decodePartnerAnswer(partner, path, status, body, out)
 		})
-		<-t.callSlots[partner]
-		t.loop.commands <- func() { done(status) }
+		<-link.callSlots
+		t.environment.loop.submit(func() { done(status) })
 	}()
 }
 
-func problemText(body []byte) string {
-	var p protocol.ErrorResponse
-	_ = protocol.Decode(body, &p)
-	return p.Error
+// decodePartnerAnswer decodes the body of a success into out. It returns the status, or
+// env.NoAnswer for a success whose body cannot be decoded.
+func decodePartnerAnswer(partner, path string, status int, body []byte, out any) int {
+	switch status {
+	case http.StatusOK:
+		if err := protocol.Decode(body, out); err != nil {
+			slog.Error("federation: invalid answer", "partner", partner, "path", path, "error", err)
+			return env.NoAnswer
+		}
+	case http.StatusForbidden, http.StatusConflict:
+		slog.Info("federation: refused by partner", "partner", partner, "path", path, "status", status, "error", errorText(body))
+	}
+	return status
+}
+
+// errorText is the error that a body names; "": none.
+func errorText(body []byte) string {
+	var failure protocol.ErrorResponse
+	_ = protocol.Decode(body, &failure) // a body without one is no news
+	return failure.Error
 }
--- /dev/null
+++ b/internal/controller/peermessages.go
@@ -0,0 +1,107 @@
+package controller
+
+import (
+	"curlewspool/internal/election"
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/protocol"
+)
+
+// HandlePeerMessage handles a message from another controller.
+func (c *Controller) HandlePeerMessage(envelope *peermsg.Envelope) {
+	sender := c.peers[envelope.From]
+	if sender == nil || !sender.acceptIncarnation(envelope.Incarnation, c.env.Now()) {
+		return
+	}
+	sender.unresponsive = false
+	switch body := envelope.Body.(type) {
+	case *peermsg.Envelope_Status:
+		sender.applyStatus(body.Status, c.env.Now(), c.peerTimeout())
+		c.learnShardQueues(body.Status)
+	case *peermsg.Envelope_PlacementRequest:
+		c.handlePlacementRequest(envelope.From, body.PlacementRequest)
+	case *peermsg.Envelope_PlacementResponse:
+		c.handlePlacementResponse(body.PlacementResponse)
+	case *peermsg.Envelope_OwnershipConfirmation:
+		c.handleOwnershipConfirmation(envelope.From, body.OwnershipConfirmation)
+	case *peermsg.Envelope_JobNotice:
+		c.handleJobNotice(body.JobNotice)
+	default:
+		if c.registry.OwnerOf(election.LeaderKey) == envelope.From {
+			c.handleLeaderOrder(envelope)
+		}
+	}
+}
+
+// handleLeaderOrder handles the messages that only the leader may send.
+func (c *Controller) handleLeaderOrder(envelope *peermsg.Envelope) {
+	switch body := envelope.Body.(type) {
+	case *peermsg.Envelope_ShardAssignment:
+		c.handleShardAssignment(int(body.ShardAssignment.Shard))
+	case *peermsg.Envelope_ShardRelease:
+		c.releaseShard(int(body.ShardRelease.Shard))
+	case *peermsg.Envelope_MachineTransfer:
+		c.handOverMachine(body.MachineTransfer)
+	case *peermsg.Envelope_ChunkOffload:
+		c.executeLendOrder(decodeLendOrder(body.ChunkOffload))
+	}
+}
+
+// handlePlacementRequest answers a controller that asks the leader for a job's shards.
+// Who does not lead, or cannot read the job, leaves it unanswered.
+func (c *Controller) handlePlacementRequest(sender string, request *peermsg.PlacementRequest) {
+	job := &protocol.Job{}
+	if !c.isLeader() || protocol.Decode(request.Job, job) != nil || job.Tasks < 1 {
+		return
+	}
+	rank, chunkSize, shards := c.placeJob(job)
+	answer := &peermsg.PlacementResponse{
+		Id:        request.Id,
+		Rank:      int32(rank),
+		ChunkSize: int32(chunkSize),
+	}
+	for _, shardID := range shards {
+		answer.Shards = append(answer.Shards, int32(shardID))
+	}
+	c.env.Send(sender, &peermsg.Envelope{
+		Body: &peermsg.Envelope_PlacementResponse{PlacementResponse: answer},
+	})
+}
+
+func (c *Controller) handlePlacementResponse(answer *peermsg.PlacementResponse) {
+	done := c.placementRequests[answer.Id]
+	if done == nil || len(answer.Shards) == 0 {
+		return
+	}
+	delete(c.placementRequests, answer.Id)
+	done(answer)
+}
+
+// handleShardAssignment claims a shard that the leader assigns to this controller, unless
+// the workers cannot reach it.
+func (c *Controller) handleShardAssignment(shardID int) {
+	if shardID < 0 || shardID >= len(c.controllerNames) || c.reachability.isUnreachable {
+		return
+	}
+	key := election.ShardKey(shardID)
+	if owner := c.registry.OwnerOf(key); owner != c.settings.Name {
+		c.registry.Claim(key, owner != "")
+	}
+}
+
+// handleOwnershipConfirmation handles both directions of an attestation: a request lists
+// the sender's keys, an answer has none.
+func (c *Controller) handleOwnershipConfirmation(sender string, message *peermsg.OwnershipConfirmation) {
+	if len(message.Keys) > 0 {
+		c.answerAttestation(sender, message)
+	} else {
+		c.acceptAttestation(sender, message)
+	}
+}
+
+// handleJobNotice applies a cancellation at once and reads what else has changed.
+func (c *Controller) handleJobNotice(notice *peermsg.JobNotice) {
+	if notice.Cancelled {
+		c.applyPeerCancellation(notice.Job, notice.CancelledBy)
+	}
+	c.store.Refresh()
+}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -2,155 +2,148 @@
 
 import (
 	"log/slog"
+	"net/http"
 	"time"
 
 	"curlewspool/internal/election"
-	"curlewspool/internal/env"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
 
-// reachability follows whether workers reach this controller. One that lost only its
-// workers is ready in everybody's eyes and would keep its parts while all their
-// leases run out: the others answer 421 with its name. They say whose machines
-// come to them instead; it then gives its parts up, and takes none until a
-// worker answers it again. (On days of the fleet's size 284 machines lost their
-// leases, and 800 tasks their work, to one such controller.)
+// reachability tracks whether workers reach this controller. A controller that lost only
+// its workers looks ready to all others and would keep its shards while the workers'
+// leases run out, as the others answer them 421 with its name. So each controller tells
+// in its status which shards' machines report to it instead. The owner then releases
+// those shards, and takes none until a worker answers it again. (On simulated days of
+// the fleet's size 284 machines lost their leases, and 800 tasks their work, to one such
+// controller.)
 type reachability struct {
-	foreignReports map[string]sighting // machines of others' parts: when they last reported here
-	isUnreachable  bool
+	foreignReports map[string]reportArrival // by machine of a shard owned elsewhere: its latest report here
+	isUnreachable  bool                     // no worker reaches this controller
 	isProbing      bool
 }
 
-// sighting is a report and when it came. A late copy of one that came before says
-// nothing of who reaches whom now.
-type sighting struct {
-	session, seq uint64
-	receivedAt   time.Duration
+// reportArrival is a report and when it came. A late copy of an earlier one says nothing
+// of who reaches whom now.
+type reportArrival struct {
+	version    reportVersion
+	receivedAt time.Duration
 }
 
-// recordReport notes a report that came here; ours: of a machine of a part owned here.
-// (Were those noted, too, a part that is given up on purpose would be given back
-// at once, as its machines seem to prefer this controller.)
-func (t *reachability) recordReport(report *protocol.Report, isOwnMachine bool, now time.Duration) {
-	if t.foreignReports == nil {
-		t.foreignReports = map[string]sighting{}
+// recordReport notes that a report arrived. Those of machines of this controller's own
+// shards are not kept: a shard that is released on purpose would be assigned to it again
+// at once, as its machines would seem to prefer this controller.
+func (r *reachability) recordReport(report *protocol.Report, isOwnMachine bool, now time.Duration) {
+	if r.foreignReports == nil {
+		r.foreignReports = map[string]reportArrival{}
 	}
-	previous := t.foreignReports[report.Machine]
-	switch {
-	case !report.IsNewerThan(previous.session, previous.seq):
+	previous := r.foreignReports[report.Machine].version
+	if !report.IsNewerThan(previous.incarnation, previous.sequence) {
 		return
-	case isOwnMachine:
-		delete(t.foreignReports, report.Machine)
-	default:
-		t.foreignReports[report.Machine] = sighting{report.Incarnation, report.Sequence, now}
 	}
-	t.isUnreachable = false
-}
-
-func (c *Controller) reportInterval() time.Duration {
-	return env.Seconds(c.settings.Deployment.Workers.Report)
+	if isOwnMachine {
+		delete(r.foreignReports, report.Machine)
+	} else {
+		version := reportVersion{incarnation: report.Incarnation, sequence: report.Sequence}
+		r.foreignReports[report.Machine] = reportArrival{version: version, receivedAt: now}
+	}
+	r.isUnreachable = false
 }
 
-// failoverCycle is how long a machine that nobody answers takes from one controller through
-// all others back to it.
+// failoverCycle is how long a machine that nobody answers takes from one controller
+// through all others back to it.
 func (c *Controller) failoverCycle() time.Duration {
 	return time.Duration(len(c.controllerNames)+1) * (protocol.ReportTimeout + protocol.NextControllerDelay)
 }
 
-// countByShard tells whose machines came here of late, by part; what is older is
-// forgotten.
-func (t *reachability) countByShard(controller *Controller) []*peermsg.ReachabilityReport {
-	now := controller.env.Now()
-	count := make([]int32, len(controller.controllerNames))
-	for id, seen := range t.foreignReports {
-		record := controller.machines[id]
-		if now-seen.receivedAt > 2*controller.workerLease() || record == nil { // after that a copy may count once
-			delete(t.foreignReports, id)
+// countForeignReports counts, by shard, the machines of other owners that reported here
+// within the latest two report intervals. It drops arrivals older than two worker leases;
+// a late copy of such a report may count once more.
+func (c *Controller) countForeignReports(now time.Duration) []*peermsg.ReachabilityReport {
+	machinesByShard := make([]int32, len(c.controllerNames))
+	for id, arrival := range c.reachability.foreignReports {
+		record := c.machines[id]
+		age := now - arrival.receivedAt
+		if age > 2*c.workerLease() || record == nil {
+			delete(c.reachability.foreignReports, id)
 			continue
 		}
-		if now-seen.receivedAt > 2*controller.reportInterval() {
+		if age > 2*c.reportInterval() {
 			continue
 		}
-		if record.Shard >= 0 && record.Shard < len(count) && controller.shards[record.Shard] == nil {
-			count[record.Shard]++
+		isKnownShard := record.Shard >= 0 && record.Shard < len(machinesByShard)
+		if isKnownShard && c.shards[record.Shard] == nil {
+			machinesByShard[record.Shard]++
 		}
 	}
-	var out []*peermsg.ReachabilityReport
-	for shardID, machines := range count {
+	var reports []*peermsg.ReachabilityReport
+	for shardID, machines := range machinesByShard {
 		if machines > 0 {
-			out = append(out, &peermsg.ReachabilityReport{Shard: int32(shardID), Machines: machines})
+			reports = append(reports, &peermsg.ReachabilityReport{Shard: int32(shardID), Machines: machines})
 		}
 	}
-	return out
+	return reports
 }
 
-// preferredController names the controller that most machines of a part go to, other than
-// its owner, and tells whether they are at least half of it.
-func (c *Controller) preferredController(k int) (name string, many bool) {
-	best, all := 0, 0
-	see := func(who string, s *peermsg.Status) {
-		for _, h := range s.ReachabilityReports {
-			if int(h.Shard) == k && int(h.Machines) > best {
-				name, best = who, int(h.Machines)
+// reachedController says which controller the machines of a shard report to in place of
+// its owner.
+type reachedController struct {
+	name       string // "": none
+	isMajority bool   // at least half of the shard's machines report there
+}
+
+// reachedInsteadOfOwner finds the controller, other than its owner, to which most machines
+// of a shard report.
+func (c *Controller) reachedInsteadOfOwner(shardID int) reachedController {
+	name, most := "", 0
+	c.eachLiveStatus(func(controller string, status *peermsg.Status) {
+		for _, report := range status.ReachabilityReports {
+			if int(report.Shard) == shardID && int(report.Machines) > most {
+				name, most = controller, int(report.Machines)
 			}
 		}
+	})
+	if most == 0 {
+		return reachedController{} // nearly always: the machines need not be counted
 	}
-	for _, who := range sortedKeys(c.peers) {
-		if p := c.peers[who]; p.status != nil && c.isPeerAlive(who) {
-			see(who, p.status)
-		}
-	}
-	if c.ownStatus != nil {
-		see(c.settings.Name, c.ownStatus)
-	}
-	if best == 0 {
-		return "", false // as nearly always: no walk over the machines
-	}
-	for _, m := range c.machines {
-		if m.Shard == k {
-			all++
+	total := 0
+	for _, record := range c.machines {
+		if record.Shard == shardID {
+			total++
 		}
 	}
-	return name, all > 0 && 2*best >= all
+	return reachedController{name: name, isMajority: total > 0 && 2*most >= total}
 }
 
-// isBypassed tells whether the machines of some part of a controller go to others.
+// isBypassed reports whether the machines of some shard of an owner report to another
+// controller.
 func (c *Controller) isBypassed(owner string) bool {
-	for k := range c.controllerNames {
-		if c.registry.OwnerOf(election.ShardKey(k)) == owner {
-			if by, many := c.preferredController(k); many && by != owner {
-				return true
-			}
+	for shardID := range c.controllerNames {
+		if c.registry.OwnerOf(election.ShardKey(shardID)) != owner {
+			continue
+		}
+		if reached := c.reachedInsteadOfOwner(shardID); reached.isMajority && reached.name != owner {
+			return true
 		}
 	}
 	return false
 }
 
-// releaseUnreachableShards gives up the parts whose machines do not reach this controller and do
-// reach another.
+// releaseUnreachableShards releases the shards whose machines do not reach this controller
+// and do reach another.
 func (c *Controller) releaseUnreachableShards() {
 	now := c.env.Now()
-	c.eachShard(func(p *shard.Shard) {
-		if c.ownedShard(p.ID) == nil || now-p.AcquiredAt() < c.workerLease()/2 {
+	c.eachShard(func(owned *shard.Shard) {
+		if c.ownedShard(owned.ID) == nil || now-owned.AcquiredAt() < c.workerLease()/2 {
 			return
 		}
-		all, here := 0, 0
-		for _, m := range p.Machines {
-			// A machine that hears nobody goes from one controller to the next with its
-			// reports, this one among them: it says nothing of this one's hearing. (A
-			// part of deaf machines went from owner to owner for as long as they were.)
-			switch is := now - m.JoinedAt; {
-			case m.Incarnation == 0 && is < c.failoverCycle(), m.Incarnation > 0 && (!m.IsReachable() || is < c.workerLease()/2):
-				continue
-			case now-m.LastHeartbeat < c.reportInterval()*3/2:
-				here++
-			}
-			all++
-		}
-		if by, many := c.preferredController(p.ID); many && 4*here < all && by != c.settings.Name && c.releaseShard(p.ID) {
-			slog.Info("node: machines do not reach this controller", "part", p.ID, "machines", all, "heard", here, "reach", by)
+		counted, reporting := c.countReportingMachines(owned, now)
+		reached := c.reachedInsteadOfOwner(owned.ID)
+		isLost := reached.isMajority && 4*reporting < counted && reached.name != c.settings.Name
+		if isLost && c.releaseShard(owned.ID) {
+			slog.Info("controller: shard released, machines do not reach this controller",
+				"shard", owned.ID, "machines", counted, "reporting", reporting, "reached", reached.name)
 			c.reachability.isUnreachable = true
 		}
 	})
@@ -159,19 +152,46 @@
 	}
 }
 
-// probeReachability asks some machine how it is, so that a controller that was deaf
-// knows when it no longer is.
+// countReportingMachines counts the machines of a shard that could report here by now and
+// those of them that did of late.
+func (c *Controller) countReportingMachines(owned *shard.Shard, now time.Duration) (counted, reporting int) {
+	for _, machine := range owned.Machines {
+		if !c.isExpectedToReport(machine, now) {
+			continue
+		}
+		counted++
+		if now-machine.LastHeartbeat < c.reportInterval()*3/2 {
+			reporting++
+		}
+	}
+	return counted, reporting
+}
+
+// isExpectedToReport reports whether a machine's silence would say something of this
+// controller. A machine in an inbound partition goes with its reports from one controller
+// to the next, as no answer reaches it, and says nothing. (A shard of such machines went
+// from owner to owner for as long as they were cut off.)
+func (c *Controller) isExpectedToReport(machine *shard.Machine, now time.Duration) bool {
+	age := now - machine.JoinedAt
+	if machine.Incarnation == 0 {
+		return age >= c.failoverCycle()
+	}
+	return machine.IsReachable() && age >= c.workerLease()/2
+}
+
+// probeReachability asks a random machine for its status, so that a controller that was
+// unreachable learns when it no longer is.
 func (c *Controller) probeReachability() {
 	if c.reachability.isProbing || len(c.machines) == 0 {
 		return
 	}
 	ids := sortedKeys(c.machines)
-	addr := c.machines[ids[c.env.Rand().IntN(len(ids))]].Address
+	address := c.machines[ids[c.env.Rand().IntN(len(ids))]].Address
 	c.reachability.isProbing = true
-	c.env.Call(addr, "GET", "/status", nil, &protocol.Report{}, min(2*time.Second, c.reportInterval()), func(status int) {
+	c.env.Call(address, http.MethodGet, "/status", nil, &protocol.Report{}, c.machineCallTimeout(), func(status int) {
 		c.reachability.isProbing = false
-		if status == 200 && c.reachability.isUnreachable {
-			slog.Info("node: machines answer again")
+		if status == http.StatusOK && c.reachability.isUnreachable {
+			slog.Info("controller: machines are reachable again")
 			c.reachability.isUnreachable = false
 		}
 	})
--- /dev/null
+++ b/internal/controller/statusround.go
@@ -0,0 +1,66 @@
+package controller
+
+import (
+	"time"
+
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/shard"
+)
+
+// statusRound sends this controller's status to the others, once in each status interval,
+// and does the leader's periodic work.
+func (c *Controller) statusRound() {
+	now := c.env.Now()
+	c.publishLiveness(now)
+	// Before the status is made: a controller that its workers cannot reach says so at
+	// once, and is not assigned the shard again.
+	c.releaseUnreachableShards()
+	status := c.newStatus(now)
+	c.accountCost(now)
+	c.learnShardQueues(status)
+	c.ownStatus = status
+	if c.isLeader() {
+		c.assignShards()
+		c.scaleOut()
+		c.transferMachines()
+	}
+	if c.isLeader() { // still: the work above may have found that leadership is lost
+		status.SpotSuffices = c.autoscaler.HasOnDemandSurplus()
+		status.BootingCores, status.BootRemainingS = c.autoscaler.BootingCapacity()
+	}
+	c.moveChunks()
+	if c.federation != nil {
+		c.federation.Tick()
+	}
+	// Last: chunks that moved have taken some of the free capacity that it tells of.
+	c.broadcastStatus(status)
+	c.env.After(c.statusInterval(), c.statusRound)
+}
+
+// newStatus describes this controller and the shards that it owns.
+func (c *Controller) newStatus(now time.Duration) *peermsg.Status {
+	status := &peermsg.Status{
+		Version:             peermsg.Version,
+		Ready:               c.isReady(),
+		ReachabilityReports: c.countForeignReports(now),
+		Unreachable:         c.reachability.isUnreachable,
+	}
+	if answeredAt := c.store.Health().LastAnsweredAt; answeredAt > 0 {
+		status.StoreAgeMs = max(1, uint32((now - answeredAt).Milliseconds()))
+	}
+	c.eachShard(func(owned *shard.Shard) {
+		if c.ownedShard(owned.ID) == nil {
+			return
+		}
+		shardStatus, unmetDemands := owned.Status(c.settings.Rank.Max)
+		status.Shards = append(status.Shards, shardStatus)
+		status.UnmetDemands = append(status.UnmetDemands, unmetDemands...)
+	})
+	return status
+}
+
+func (c *Controller) broadcastStatus(status *peermsg.Status) {
+	for _, name := range sortedKeys(c.peers) {
+		c.env.Send(name, &peermsg.Envelope{Body: &peermsg.Envelope_Status{Status: status}})
+	}
+}
