--- a/internal/simulator/addition_test.go
+++ b/internal/simulator/addition_test.go
@@ -34,9 +34,9 @@
 // restartQuickly ends a controller that is up and has it back after a fraction of a second.
 func (c *Cluster) restartQuickly(at, after float64, who func() *ControllerProcess) {
 	c.At(at, func() {
-		if h := who(); h.running {
-			h.Crash()
-			c.after(time.Duration(after*float64(time.Second)), h.Start)
+		if process := who(); process.running {
+			process.Crash()
+			c.after(time.Duration(after*float64(time.Second)), process.Start)
 		}
 	})
 }
@@ -50,40 +50,40 @@
 }
 
 // ownerOf is the controller that owns the part of a machine.
-func (c *Cluster) ownerOf(w *Machine) *ControllerProcess {
-	return c.Controllers[c.controllerNames[w.controllerIndex%len(c.controllerNames)]]
+func (c *Cluster) ownerOf(machine *Machine) *ControllerProcess {
+	return c.Controllers[c.controllerNames[machine.controllerIndex%len(c.controllerNames)]]
 }
 
 // scenario is a short day on which troubles meet, to be read.
 type scenario struct {
 	name   string
-	script func(s *Cluster, w []*Machine) (done []string) // which jobs are to be done, beside the workday's
-	check  func(t *testing.T, s *Cluster, w []*Machine)
+	script func(cluster *Cluster, machines []*Machine) (done []string) // which jobs are to be done, beside the workday's
+	check  func(t *testing.T, cluster *Cluster, machines []*Machine)
 }
 
 // runScenarios plays such days; all troubles are over at calm. All is done or cancelled in
 // the end, no rule breaks, nothing is forgotten or left waiting.
-func runScenarios(t *testing.T, prefix string, seed uint64, until, calm float64, before func(s *Cluster), days []scenario) {
+func runScenarios(t *testing.T, prefix string, seed uint64, until, calm float64, before func(cluster *Cluster), days []scenario) {
 	for i, c := range days {
 		t.Run(c.name, func(t *testing.T) {
 			ids := []string{"wk-1", "wk-2"}
-			var w []*Machine
-			s := playTraced(t, prefix+c.name, seed+uint64(i), until, func(s *Cluster) {
-				s.histories.FaultsOver = time.Duration(calm * float64(time.Second))
-				s.monitorWaitingJobs()
+			var machines []*Machine
+			cluster := playTraced(t, prefix+c.name, seed+uint64(i), until, func(cluster *Cluster) {
+				cluster.histories.FaultsOver = time.Duration(calm * float64(time.Second))
+				cluster.monitorWaitingJobs()
 				if before != nil {
-					before(s)
+					before(cluster)
 				}
-				w = submitStandardLoad(s)
-				ids = append(ids, c.script(s, w)...)
+				machines = submitStandardLoad(cluster)
+				ids = append(ids, c.script(cluster, machines)...)
 			})
-			expectStatus(t, s, protocol.JobDone, ids...)
-			expectStatus(t, s, protocol.JobCancelled, "wk-3")
-			for _, wrong := range s.ServiceLevelViolations() {
+			expectStatus(t, cluster, protocol.JobDone, ids...)
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-3")
+			for _, wrong := range cluster.ServiceLevelViolations() {
 				t.Error(wrong)
 			}
 			if c.check != nil {
-				c.check(t, s, w)
+				c.check(t, cluster, machines)
 			}
 		})
 	}
@@ -91,168 +91,177 @@
 
 func TestPartitionsCopiesAndRestarts(t *testing.T) {
 	runScenarios(t, "addition-", 200, 330, 52, (*Cluster).useLongLeases, []scenario{
-		{"deaf-for-ever", func(s *Cluster, w []*Machine) []string {
-			s.At(10, func() { s.SetInboundPartition(w[0].Address(), true) })
-			s.At(110, func() { s.Trace("at 110 the deaf one is gone: %v", w[0].deleted) })
-			return submitBurst(s, 14, 8, 6, 4)
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if !strings.Contains(s.TraceText(), "at 110 the deaf one is gone: true") {
+		{"deaf-for-ever", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(10, func() { cluster.SetInboundPartition(machines[0].Address(), true) })
+			cluster.At(110, func() { cluster.Trace("at 110 the deaf one is gone: %v", machines[0].deleted) })
+			return submitBurst(cluster, 14, 8, 6, 4)
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if !strings.Contains(cluster.TraceText(), "at 110 the deaf one is gone: true") {
 				t.Error("the deaf machine was not returned")
 			}
 		}},
-		{"deaf-from-its-first-report", func(s *Cluster, w []*Machine) []string {
-			s.At(9, func() { s.SetInboundPartition(s.address("w-i-007"), true); s.AddMachine("small", "a", false) })
-			return submitBurst(s, 12, 4, 6, 4)
+		{"deaf-from-its-first-report", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(9, func() {
+				cluster.SetInboundPartition(cluster.address("w-i-007"), true)
+				cluster.AddMachine("small", "a", false)
+			})
+			return submitBurst(cluster, 12, 4, 6, 4)
 		}, nil},
-		{"deaf-for-a-moment", func(s *Cluster, w []*Machine) []string {
-			s.partitionInboundFor(12, 17, w[0])
-			return submitBurst(s, 14, 4, 6, 4)
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if strings.Contains(s.TraceText(), "lease over, kills") {
+		{"deaf-for-a-moment", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.partitionInboundFor(12, 17, machines[0])
+			return submitBurst(cluster, 14, 4, 6, 4)
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if strings.Contains(cluster.TraceText(), "lease over, kills") {
 				t.Error("a machine lost its lease")
 			}
 		}},
-		{"deaf-for-nearly-a-lease", func(s *Cluster, w []*Machine) []string {
-			s.partitionInboundFor(12, 23, w[0])
-			return submitBurst(s, 14, 4, 6, 4)
+		{"deaf-for-nearly-a-lease", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.partitionInboundFor(12, 23, machines[0])
+			return submitBurst(cluster, 14, 4, 6, 4)
 		}, nil},
-		{"deaf-and-its-owner-lost", func(s *Cluster, w []*Machine) []string {
-			s.At(12, func() {
-				x := s.machinesWith("wk-1")[0]
-				s.SetInboundPartition(x.Address(), true)
-				s.ownerOf(x).Crash()
+		{"deaf-and-its-owner-lost", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(12, func() {
+				machine := cluster.machinesWith("wk-1")[0]
+				cluster.SetInboundPartition(machine.Address(), true)
+				cluster.ownerOf(machine).Crash()
 			})
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12, nil)) // some of it waits, and may be there
-			return append(submitBurst(s, 14, 3, 4, 4), "wk-4")
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12, nil)) // some of it waits, and may be there
+			return append(submitBurst(cluster, 14, 3, 4, 4), "wk-4")
 		}, nil},
 		// Before: wk-4 waited for 190 s. No answer under the new owner's token ever came,
 		// leases that reports seemed to renew did not end, and the part went from owner
 		// to owner, as its machines seemed to reach each of the others.
-		{"several-deaf-for-ever-and-their-owner-lost", func(s *Cluster, w []*Machine) []string {
-			s.At(12, func() {
-				h := s.ownerOf(s.machinesWith("wk-1")[0])
-				for _, x := range w {
-					if s.ownerOf(x) == h {
-						s.SetInboundPartition(x.Address(), true)
+		{"several-deaf-for-ever-and-their-owner-lost", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(12, func() {
+				process := cluster.ownerOf(cluster.machinesWith("wk-1")[0])
+				for _, machine := range machines {
+					if cluster.ownerOf(machine) == process {
+						cluster.SetInboundPartition(machine.Address(), true)
 					}
 				}
-				h.Crash()
+				process.Crash()
 			})
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12, nil))
-			s.At(150, func() { s.Trace("at 150 wk-4 is %s", s.ReportedStatus("wk-4")) })
-			return append(submitBurst(s, 14, 3, 4, 4), "wk-4")
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if !strings.Contains(s.TraceText(), "at 150 wk-4 is done") {
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12, nil))
+			cluster.At(150, func() { cluster.Trace("at 150 wk-4 is %s", cluster.ReportedStatus("wk-4")) })
+			return append(submitBurst(cluster, 14, 3, 4, 4), "wk-4")
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if !strings.Contains(cluster.TraceText(), "at 150 wk-4 is done") {
 				t.Error("wk-4 waited for deaf machines")
 			}
 		}},
-		{"deaf-with-a-cancelled-job", func(s *Cluster, w []*Machine) []string {
-			s.At(12, func() {
-				for _, x := range s.machinesWith("wk-3") {
-					s.SetInboundPartition(x.Address(), true)
+		{"deaf-with-a-cancelled-job", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(12, func() {
+				for _, machine := range cluster.machinesWith("wk-3") {
+					cluster.SetInboundPartition(machine.Address(), true)
 				}
 			})
-			return submitBurst(s, 14, 2, 4, 4)
+			return submitBurst(cluster, 14, 2, 4, 4)
 		}, nil},
-		{"deaf-with-half-a-gang", func(s *Cluster, w []*Machine) []string {
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 4, 2, 8, nil))
-			s.At(8.05, func() { s.SetInboundPartition(w[1].Address(), true) })
-			return append(submitBurst(s, 14, 2, 4, 4), "wk-4")
+		{"deaf-with-half-a-gang", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 4, 2, 8, nil))
+			cluster.At(8.05, func() { cluster.SetInboundPartition(machines[1].Address(), true) })
+			return append(submitBurst(cluster, 14, 2, 4, 4), "wk-4")
 		}, nil},
-		{"a-third-is-deaf", func(s *Cluster, w []*Machine) []string {
-			for _, x := range w[:2] {
-				s.partitionInboundFor(12, 40, x)
+		{"a-third-is-deaf", func(cluster *Cluster, machines []*Machine) []string {
+			for _, machine := range machines[:2] {
+				cluster.partitionInboundFor(12, 40, machine)
 			}
-			return submitBurst(s, 14, 6, 6, 4)
+			return submitBurst(cluster, 14, 6, 6, 4)
 		}, nil},
-		{"copies-across-a-takeover", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 30, 3, 9, 20)
-			s.At(12, func() { s.nonLeaderOwner().Crash() })
-			return submitBurst(s, 14, 3, 4, 4)
+		{"copies-across-a-takeover", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 30, 3, 9, 20)
+			cluster.At(12, func() { cluster.nonLeaderOwner().Crash() })
+			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"copies-across-a-restart", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 30, 4, 7, 16)
-			s.crashFor(12, 14.5, s.controllerNames...)
-			return submitBurst(s, 14, 3, 4, 4)
+		{"copies-across-a-restart", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 30, 4, 7, 16)
+			cluster.crashFor(12, 14.5, cluster.controllerNames...)
+			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"copies-of-a-deleted-machine", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 40, 50, 53, 56)
-			s.At(13, func() { w[2].Die(); w[3].Die() })
-			s.crashFor(45, 47.5, s.controllerNames...) // nobody remembers what was deleted
-			s.At(70, func() { s.Trace("%d machines are known", s.leaderProcess().Controller.DebugState().Machines) })
-			return submitBurst(s, 14, 3, 4, 4)
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if !strings.Contains(s.TraceText(), " 70.00 4 machines are known") {
+		{"copies-of-a-deleted-machine", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 40, 50, 53, 56)
+			cluster.At(13, func() { machines[2].Die(); machines[3].Die() })
+			cluster.crashFor(45, 47.5, cluster.controllerNames...) // nobody remembers what was deleted
+			cluster.At(70, func() {
+				cluster.Trace("%d machines are known", cluster.leaderProcess().Controller.DebugState().Machines)
+			})
+			return submitBurst(cluster, 14, 3, 4, 4)
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if !strings.Contains(cluster.TraceText(), " 70.00 4 machines are known") {
 				t.Error("ghosts are known as machines")
 			}
 		}},
-		{"machine-back-at-once-and-copies", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 30, 1, 5, 12)
-			s.At(12, func() { w[0].Reboot(300 * time.Millisecond) })
-			s.At(13, func() { w[1].Reboot(60 * time.Millisecond) })
-			s.At(60, func() { s.Trace("machines that came back are there: %v", !w[0].deleted && !w[1].deleted) })
-			return submitBurst(s, 14, 3, 6, 4)
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if !strings.Contains(s.TraceText(), "are there: true") {
+		{"machine-back-at-once-and-copies", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 30, 1, 5, 12)
+			cluster.At(12, func() { machines[0].Reboot(300 * time.Millisecond) })
+			cluster.At(13, func() { machines[1].Reboot(60 * time.Millisecond) })
+			cluster.At(60, func() {
+				cluster.Trace("machines that came back are there: %v", !machines[0].deleted && !machines[1].deleted)
+			})
+			return submitBurst(cluster, 14, 3, 6, 4)
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if !strings.Contains(cluster.TraceText(), "are there: true") {
 				t.Error("a machine that came back was given up")
 			}
 		}},
-		{"isolated-leader-and-a-frozen-one", func(s *Cluster, w []*Machine) []string {
-			s.At(12, func() {
-				s.At(40, s.IsolateController(s.leaderProcess().name))
-				s.nonLeaderOwner().Pause(9*time.Second, true)
+		{"isolated-leader-and-a-frozen-one", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(12, func() {
+				cluster.At(40, cluster.IsolateController(cluster.leaderProcess().name))
+				cluster.nonLeaderOwner().Pause(9*time.Second, true)
 			})
-			return submitBurst(s, 14, 3, 4, 4)
+			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"isolated-owner-and-a-cancellation", func(s *Cluster, w []*Machine) []string {
-			s.At(12, func() { s.At(50, s.IsolateController(s.ownerOf(s.machinesWith("wk-3")[0]).name)) })
-			s.At(30, func() {
-				for _, n := range s.controllerNames {
-					s.Trace("%s is up for users: %v", n, s.Controllers[n].Controller.IsHealthy())
+		{"isolated-owner-and-a-cancellation", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(12, func() {
+				cluster.At(50, cluster.IsolateController(cluster.ownerOf(cluster.machinesWith("wk-3")[0]).name))
+			})
+			cluster.At(30, func() {
+				for _, name := range cluster.controllerNames {
+					cluster.Trace("%s is up for users: %v", name, cluster.Controllers[name].Controller.IsHealthy())
 				}
 			})
-			return submitBurst(s, 14, 3, 4, 4)
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if n := strings.Count(s.TraceText(), "is up for users: false"); n != 1 {
+			return submitBurst(cluster, 14, 3, 4, 4)
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if n := strings.Count(cluster.TraceText(), "is up for users: false"); n != 1 {
 				t.Errorf("%d controllers are not up for users, want the isolated one alone", n)
 			}
 		}},
-		{"isolated-again-and-again", func(s *Cluster, w []*Machine) []string {
+		{"isolated-again-and-again", func(cluster *Cluster, machines []*Machine) []string {
 			for at := 12.0; at < 40; at += 6 {
-				s.At(at, func() { s.after(3*time.Second, s.IsolateController("n1")) })
+				cluster.At(at, func() { cluster.after(3*time.Second, cluster.IsolateController("n1")) })
 			}
-			return submitBurst(s, 14, 3, 4, 4)
+			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"back-at-once-in-an-election", func(s *Cluster, w []*Machine) []string {
+		{"back-at-once-in-an-election", func(cluster *Cluster, machines []*Machine) []string {
 			lead := ""
-			s.At(12, func() { lead = s.leaderProcess().name; s.Controllers[lead].Crash() })
-			for k, n := range s.controllerNames { // those who would take its place end and are back, twice
-				s.restartQuickly(17+float64(k)/5, 0.2, func() *ControllerProcess { return s.Controllers[n] })
-				s.restartQuickly(17.9+float64(k)/5, 0.6, func() *ControllerProcess { return s.Controllers[n] })
+			cluster.At(12, func() { lead = cluster.leaderProcess().name; cluster.Controllers[lead].Crash() })
+			for k, name := range cluster.controllerNames { // those who would take its place end and are back, twice
+				cluster.restartQuickly(17+float64(k)/5, 0.2, func() *ControllerProcess { return cluster.Controllers[name] })
+				cluster.restartQuickly(17.9+float64(k)/5, 0.6, func() *ControllerProcess { return cluster.Controllers[name] })
 			}
-			s.At(18.2, func() { s.State.StartOutage(4 * time.Second) })
-			s.At(18.5, func() { s.Controllers[lead].Start() })
-			return submitBurst(s, 14, 3, 4, 4)
+			cluster.At(18.2, func() { cluster.State.StartOutage(4 * time.Second) })
+			cluster.At(18.5, func() { cluster.Controllers[lead].Start() })
+			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"all-back-at-once-while-copies-come", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 30, 2, 8, 17)
-			for k, n := range s.controllerNames {
-				s.restartQuickly(12, 0.1+0.3*float64(k), func() *ControllerProcess { return s.Controllers[n] })
-				s.restartQuickly(15, 0.9-0.3*float64(k), func() *ControllerProcess { return s.Controllers[n] })
+		{"all-back-at-once-while-copies-come", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 30, 2, 8, 17)
+			for k, name := range cluster.controllerNames {
+				cluster.restartQuickly(12, 0.1+0.3*float64(k), func() *ControllerProcess { return cluster.Controllers[name] })
+				cluster.restartQuickly(15, 0.9-0.3*float64(k), func() *ControllerProcess { return cluster.Controllers[name] })
 			}
-			return submitBurst(s, 14, 3, 4, 4)
+			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"the-largest-among-many-small", func(s *Cluster, w []*Machine) []string {
-			s.Submit(10, NewSubmission("wk-4", protocol.ShapeGang, 6, 4, 10, func(x *protocol.Submission) { x.Class = stringPointer("gangs") }))
-			r := rand.New(rand.NewPCG(5, 5))
+		{"the-largest-among-many-small", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.Submit(10, NewSubmission("wk-4", protocol.ShapeGang, 6, 4, 10, func(submission *protocol.Submission) { submission.Class = stringPointer("gangs") }))
+			random := rand.New(rand.NewPCG(5, 5))
 			for k := range 150 {
-				s.Submit(8+float64(k)*1.7, NewSubmission(fmt.Sprintf("wk-%d", 100+k), protocol.ShapeArray, 1, 4, 6+4*r.Float64(), func(x *protocol.Submission) {
-					x.Class, x.Priority = stringPointer("small"), stringPointer("high")
+				cluster.Submit(8+float64(k)*1.7, NewSubmission(fmt.Sprintf("wk-%d", 100+k), protocol.ShapeArray, 1, 4, 6+4*random.Float64(), func(submission *protocol.Submission) {
+					submission.Class, submission.Priority = stringPointer("small"), stringPointer("high")
 				}))
 			}
 			return []string{"wk-4"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if n := strings.Count(s.TraceText(), "gang wk-4 runs"); n != 1 {
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if n := strings.Count(cluster.TraceText(), "gang wk-4 runs"); n != 1 {
 				t.Errorf("the gang began %d times", n)
 			}
 		}},
@@ -264,52 +273,55 @@
 // taken for what became of the orders: no rule breaks, no token is drawn for it, and
 // all is done once they answer well.
 func TestInvalidCommandResponsesAreIgnored(t *testing.T) {
-	for i, c := range []struct {
+	for i, test := range []struct {
 		name string
-		body func(w *Machine, r *protocol.Report) any
+		body func(machine *Machine, report *protocol.Report) any
 	}{
 		{"nothing", func(*Machine, *protocol.Report) any { return map[string]any{} }},
-		{"words for numbers", func(w *Machine, _ *protocol.Report) any { return map[string]any{"kiln": w.id, "shift": 0} }},
-		{"another machine", func(_ *Machine, r *protocol.Report) any { r.Machine = "i-999"; return r }},
-		{"a token that nobody gave", func(_ *Machine, r *protocol.Report) any { r.FencingToken = 1 << 62; return r }},
-		{"a session before", func(_ *Machine, r *protocol.Report) any { r.Incarnation, r.Sequence = 1, 1; return r }},
+		{"words for numbers", func(machine *Machine, _ *protocol.Report) any { return map[string]any{"kiln": machine.id, "shift": 0} }},
+		{"another machine", func(_ *Machine, report *protocol.Report) any { report.Machine = "i-999"; return report }},
+		{"a token that nobody gave", func(_ *Machine, report *protocol.Report) any { report.FencingToken = 1 << 62; return report }},
+		{"a session before", func(_ *Machine, report *protocol.Report) any {
+			report.Incarnation, report.Sequence = 1, 1
+			return report
+		}},
 	} {
-		s := NewCluster(uint64(240 + i))
-		s.ServeAPI()
-		w := addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 20, nil))
-		s.Submit(9, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 8, nil))
-		s.Submit(9.5, NewSubmission("wk-3", protocol.ShapeArray, 8, 1, 60, nil))
-		s.Cancel(11, "wk-3")
+		cluster := NewCluster(uint64(240 + i))
+		cluster.ServeAPI()
+		machines := addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 20, nil))
+		cluster.Submit(9, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 8, nil))
+		cluster.Submit(9.5, NewSubmission("wk-3", protocol.ShapeArray, 8, 1, 60, nil))
+		cluster.Cancel(11, "wk-3")
 		counter := uint64(0)
-		s.At(8, func() {
-			counter = s.State.entries["a/c/token"].Revision
-			for _, x := range w[:3] {
-				s.handlers[x.address] = func(method, path string, body []byte, reply func(int, any)) {
-					x.serve(method, path, body, func(status int, answer any) {
-						if r, ok := answer.(*protocol.Report); ok && status == 200 {
-							answer = c.body(x, r)
+		cluster.At(8, func() {
+			counter = cluster.State.entries["a/c/token"].Revision
+			for _, machine := range machines[:3] {
+				cluster.handlers[machine.address] = func(method, path string, body []byte, reply func(int, any)) {
+					machine.serve(method, path, body, func(status int, answer any) {
+						if report, ok := answer.(*protocol.Report); ok && status == 200 {
+							answer = test.body(machine, report)
 						}
 						reply(status, answer)
 					})
 				}
 			}
 		})
-		s.At(30, func() {
-			if now := s.State.entries["a/c/token"].Revision; now != counter {
-				t.Errorf("%s: a token was drawn", c.name)
+		cluster.At(30, func() {
+			if now := cluster.State.entries["a/c/token"].Revision; now != counter {
+				t.Errorf("%s: a token was drawn", test.name)
 			}
-			for _, x := range w[:3] {
-				s.handlers[x.address] = x.serve
+			for _, machine := range machines[:3] {
+				cluster.handlers[machine.address] = machine.serve
 			}
 		})
-		s.Start()
-		s.Run(150)
-		for _, b := range s.Violations {
-			t.Errorf("%s: rule broken: %s", c.name, b)
+		cluster.Start()
+		cluster.Run(150)
+		for _, violation := range cluster.Violations {
+			t.Errorf("%s: rule broken: %s", test.name, violation)
 		}
-		expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2")
-		expectStatus(t, s, protocol.JobCancelled, "wk-3")
+		expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
+		expectStatus(t, cluster, protocol.JobCancelled, "wk-3")
 	}
 }
 
@@ -323,26 +335,26 @@
 	}
 	// made is a day on which all is well, but for what edit changes of a job.
 	made := func(edit func(id string, begins, answered *time.Duration, done *bool)) *JobHistories {
-		h := &JobHistories{FaultsOver: calm}
-		for id, j := range jobs {
+		histories := &JobHistories{FaultsOver: calm}
+		for id, job := range jobs {
 			begins, answered, done := 30*time.Second, end-10*time.Second, true
 			edit(id, &begins, &answered, &done)
-			h.recordSubmission(id, 10*time.Second)
-			h.job(id).maxConcurrent = j.Tasks
-			h.recordAnswer(id, 11*time.Second)
+			histories.recordSubmission(id, 10*time.Second)
+			histories.job(id).maxConcurrent = job.Tasks
+			histories.recordAnswer(id, 11*time.Second)
 			for at := calm; at <= answered; at += 20 * time.Second {
-				h.recordAnswer(id, at)
+				histories.recordAnswer(id, at)
 			}
-			for k := range j.Tasks {
-				h.recordStart(agent.TaskID{Job: id, Index: k}, begins)
+			for k := range job.Tasks {
+				histories.recordStart(agent.TaskID{Job: id, Index: k}, begins)
 				if done {
-					h.recordCompletion(agent.TaskID{Job: id, Index: k})
+					histories.recordCompletion(agent.TaskID{Job: id, Index: k})
 				}
 			}
 		}
-		return h
+		return histories
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		edit func(id string, begins, answered *time.Duration, done *bool)
 		want string
 	}{
@@ -360,9 +372,9 @@
 		"two thirds of a class": {func(id string, _, _ *time.Duration, d *bool) { *d = id != "a" && id != "b" },
 			"not served: class x, 1 of 3"},
 	} {
-		got := strings.Join(made(c.edit).Violations(jobs, end), "; ")
-		if c.want == "" && got != "" || !strings.HasPrefix(got, c.want) || strings.Contains(got, ";") {
-			t.Errorf("%s: judged %q, want %q alone", name, got, c.want)
+		got := strings.Join(made(test.edit).Violations(jobs, end), "; ")
+		if test.want == "" && got != "" || !strings.HasPrefix(got, test.want) || strings.Contains(got, ";") {
+			t.Errorf("%s: judged %q, want %q alone", name, got, test.want)
 		}
 	}
 }
@@ -376,31 +388,31 @@
 // A job whose record cannot be read stays known and can be cancelled: nothing that
 // only one job needs may leave its users without an answer.
 func TestJobWithUnreadableRecordCanBeCancelled(t *testing.T) {
-	s := NewCluster(230)
-	s.ServeAPI()
-	addMachines(s, 2, 0)
-	s.histories.FaultsOver = 10 * time.Second
-	s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 4, 1, 3, nil))
-	s.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 40, 1, 30, nil))
-	s.At(10, func() {
-		s.State.revision++
+	cluster := NewCluster(230)
+	cluster.ServeAPI()
+	addMachines(cluster, 2, 0)
+	cluster.histories.FaultsOver = 10 * time.Second
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 4, 1, 3, nil))
+	cluster.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 40, 1, 30, nil))
+	cluster.At(10, func() {
+		cluster.State.revision++
 		v, _ := cbor.Marshal("torn")
-		e := protocol.Entry{Key: "a/j/wk-2", Value: v, Revision: s.State.revision}
-		s.State.entries[e.Key] = e
-		s.State.changeLog = append(s.State.changeLog, protocol.Change{Put: e.Key, Value: v, Revision: e.Revision})
+		entry := protocol.Entry{Key: "a/j/wk-2", Value: v, Revision: cluster.State.revision}
+		cluster.State.entries[entry.Key] = entry
+		cluster.State.changeLog = append(cluster.State.changeLog, protocol.Change{Put: entry.Key, Value: v, Revision: entry.Revision})
 	})
-	s.crashFor(12, 14, s.controllerNames...) // nobody remembers what it was
-	s.Cancel(200, "wk-2")
-	s.Start()
-	s.Run(195)
-	if wrong := s.ServiceLevelViolations(); strings.Contains(fmt.Sprint(wrong), "forgotten") {
+	cluster.crashFor(12, 14, cluster.controllerNames...) // nobody remembers what it was
+	cluster.Cancel(200, "wk-2")
+	cluster.Start()
+	cluster.Run(195)
+	if wrong := cluster.ServiceLevelViolations(); strings.Contains(fmt.Sprint(wrong), "forgotten") {
 		t.Error(wrong)
 	}
-	s.Run(260)
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	expectStatus(t, s, protocol.JobCancelled, "wk-2")
-	if len(s.Violations) > 0 {
-		t.Error(s.Violations)
+	cluster.Run(260)
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-2")
+	if len(cluster.Violations) > 0 {
+		t.Error(cluster.Violations)
 	}
 }
 
@@ -408,55 +420,55 @@
 // 503 or 421 and are not acted on: no token is drawn, no machine recorded, none that
 // works taken for another. A number that jumps ahead is in order.
 func TestInvalidReportsAreRejected(t *testing.T) {
-	s := NewCluster(231)
-	s.ServeAPI()
-	w := addMachines(s, 4, 0)
-	s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 8, 1, 20, nil))
-	good := func(edit func(r *protocol.Report)) *protocol.Report {
-		r := &protocol.Report{Machine: w[0].id, Address: w[0].address, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []protocol.TaskReport{}}
-		edit(r)
-		return r
+	cluster := NewCluster(231)
+	cluster.ServeAPI()
+	machines := addMachines(cluster, 4, 0)
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 8, 1, 20, nil))
+	good := func(edit func(report *protocol.Report)) *protocol.Report {
+		report := &protocol.Report{Machine: machines[0].id, Address: machines[0].address, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []protocol.TaskReport{}}
+		edit(report)
+		return report
 	}
 	nan := math.NaN()
 	counter := uint64(0)
-	s.At(9.9, func() { counter = s.State.entries["a/c/token"].Revision })
-	for i, c := range []struct {
+	cluster.At(9.9, func() { counter = cluster.State.entries["a/c/token"].Revision })
+	for i, test := range []struct {
 		name string
 		body any
 		want string
 	}{
 		{"nothing", map[string]any{}, "400"},
 		{"not a map", []int{1, 2}, "400"},
-		{"words for numbers", map[string]any{"kiln": w[0].id, "shift": "one"}, "400"},
-		{"no machine", good(func(r *protocol.Report) { r.Machine = "" }), "400"},
-		{"no address", good(func(r *protocol.Report) { r.Address = "" }), "400"},
-		{"no session", good(func(r *protocol.Report) { r.Incarnation = 0 }), "400"},
-		{"a notice that is no time", good(func(r *protocol.Report) { r.PreemptionNotice = &nan }), "400"},
-		{"older than what is known", good(func(r *protocol.Report) {}), "503 421"},
-		{"a token that nobody gave", good(func(r *protocol.Report) { r.Sequence, r.FencingToken = 1000, 1<<62 }), "503 421"},
-		{"a machine that is not there", good(func(r *protocol.Report) { r.Machine, r.Address = "i-999", "w-i-999" }), "503 421"},
+		{"words for numbers", map[string]any{"kiln": machines[0].id, "shift": "one"}, "400"},
+		{"no machine", good(func(report *protocol.Report) { report.Machine = "" }), "400"},
+		{"no address", good(func(report *protocol.Report) { report.Address = "" }), "400"},
+		{"no session", good(func(report *protocol.Report) { report.Incarnation = 0 }), "400"},
+		{"a notice that is no time", good(func(report *protocol.Report) { report.PreemptionNotice = &nan }), "400"},
+		{"older than what is known", good(func(report *protocol.Report) {}), "503 421"},
+		{"a token that nobody gave", good(func(report *protocol.Report) { report.Sequence, report.FencingToken = 1000, 1<<62 }), "503 421"},
+		{"a machine that is not there", good(func(report *protocol.Report) { report.Machine, report.Address = "i-999", "w-i-999" }), "503 421"},
 	} {
-		for _, n := range s.controllerNames {
-			s.At(10+float64(i)/10, func() {
-				s.request("test", s.apiAddress(n), "POST", "/v1/report", c.body, nil, 5*time.Second, func(status int) {
-					if !strings.Contains(c.want, fmt.Sprint(status)) || status == 0 {
-						t.Errorf("%s gets %d of %s, want %s", c.name, status, n, c.want)
+		for _, name := range cluster.controllerNames {
+			cluster.At(10+float64(i)/10, func() {
+				cluster.request("test", cluster.apiAddress(name), "POST", "/v1/report", test.body, nil, 5*time.Second, func(status int) {
+					if !strings.Contains(test.want, fmt.Sprint(status)) || status == 0 {
+						t.Errorf("%s gets %d of %s, want %s", test.name, status, name, test.want)
 					}
 				})
 			})
 		}
 	}
-	s.At(14, func() {
-		if now := s.State.entries["a/c/token"].Revision; now != counter {
+	cluster.At(14, func() {
+		if now := cluster.State.entries["a/c/token"].Revision; now != counter {
 			t.Error("a token was drawn for a report that proves nothing")
 		}
-		w[1].sequence += 1000
+		machines[1].sequence += 1000
 	})
-	s.At(25, func() {
-		for _, n := range s.runningControllers() {
-			d := s.Controllers[n].Controller.DebugState()
+	cluster.At(25, func() {
+		for _, name := range cluster.runningControllers() {
+			d := cluster.Controllers[name].Controller.DebugState()
 			if d.Machines != 4 {
-				t.Errorf("%s knows %d machines, 4 are there", n, d.Machines)
+				t.Errorf("%s knows %d machines, 4 are there", name, d.Machines)
 			}
 			for _, p := range d.Shards {
 				if len(p.Unreachable) > 0 || p.Unresponsive > 0 {
@@ -465,28 +477,28 @@
 			}
 		}
 	})
-	s.Start()
-	s.Run(60)
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 8 || len(s.Violations) > 0 {
-		t.Errorf("%d starts of 8 tasks, broken %v", n, s.Violations)
+	cluster.Start()
+	cluster.Run(60)
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 8 || len(cluster.Violations) > 0 {
+		t.Errorf("%d starts of 8 tasks, broken %v", n, cluster.Violations)
 	}
 }
 
 // The judge says so when a job waits beside room for it: here as nobody is there who
 // could start it.
 func TestWaitDespiteCapacityIsReported(t *testing.T) {
-	s := NewCluster(3)
-	s.ServeAPI()
-	addMachines(s, 3, 0)
-	s.histories.FaultsOver = 14 * time.Second
-	s.monitorWaitingJobs()
-	s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 30, 1, 10, nil))
-	s.crashFor(12, 130, s.controllerNames...)
-	s.Start()
-	s.Run(200)
-	if got := strings.Join(s.ServiceLevelViolations(), "; "); !strings.Contains(got, "left waiting: wk-1 for 1m") {
+	cluster := NewCluster(3)
+	cluster.ServeAPI()
+	addMachines(cluster, 3, 0)
+	cluster.histories.FaultsOver = 14 * time.Second
+	cluster.monitorWaitingJobs()
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 30, 1, 10, nil))
+	cluster.crashFor(12, 130, cluster.controllerNames...)
+	cluster.Start()
+	cluster.Run(200)
+	if got := strings.Join(cluster.ServiceLevelViolations(), "; "); !strings.Contains(got, "left waiting: wk-1 for 1m") {
 		t.Errorf("the judge says %q", got)
 	}
-	expectStatus(t, s, protocol.JobDone, "wk-1")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
 }
--- a/internal/simulator/awaits_test.go
+++ b/internal/simulator/awaits_test.go
@@ -14,14 +14,14 @@
 // and a job that was never accepted get 422; a job that is known is answered as a repeat
 // whatever they are; without the state service nothing is said to be never accepted.
 func TestDependencyListValidation(t *testing.T) {
-	s := NewCluster(3300)
-	s.ServeAPI()
-	addMachines(s, 3, 0)
-	s.Submit(5, NewSubmission("wk-done", protocol.ShapeArray, 1, 1, 2, nil))
-	s.Submit(5, NewSubmission("wk-runs", protocol.ShapeArray, 1, 1, 300, nil))
-	s.Submit(5, NewSubmission("wk-gone", protocol.ShapeArray, 1, 1, 300, nil))
-	s.Submit(5, NewSubmission("wk-serves", protocol.ShapeService, 1, 1, 0, nil))
-	s.Cancel(8, "wk-gone")
+	cluster := NewCluster(3300)
+	cluster.ServeAPI()
+	addMachines(cluster, 3, 0)
+	cluster.Submit(5, NewSubmission("wk-done", protocol.ShapeArray, 1, 1, 2, nil))
+	cluster.Submit(5, NewSubmission("wk-runs", protocol.ShapeArray, 1, 1, 300, nil))
+	cluster.Submit(5, NewSubmission("wk-gone", protocol.ShapeArray, 1, 1, 300, nil))
+	cluster.Submit(5, NewSubmission("wk-serves", protocol.ShapeService, 1, 1, 0, nil))
+	cluster.Cancel(8, "wk-gone")
 	type answer struct {
 		status int
 		state  protocol.JobStatus
@@ -33,18 +33,18 @@
 	n := 0
 	ask := func(at float64, id string, awaits any, want ...answer) {
 		n++
-		node := s.controllerNames[n%len(s.controllerNames)]
-		s.At(at, func() {
+		node := cluster.controllerNames[n%len(cluster.controllerNames)]
+		cluster.At(at, func() {
 			in := map[string]any{}
-			for k, v := range body {
-				in[k] = v
+			for key, v := range body {
+				in[key] = v
 			}
 			in["id"], in["awaits"] = id, awaits
 			if awaits == "absent" {
 				delete(in, "awaits")
 			}
 			out := &protocol.JobState{}
-			s.request("user", s.apiAddress(node), "POST", "/v2/runs", in, out, 5*time.Second, func(status int) {
+			cluster.request("user", cluster.apiAddress(node), "POST", "/v2/runs", in, out, 5*time.Second, func(status int) {
 				for _, w := range want {
 					if w == (answer{status, out.Status}) {
 						return
@@ -72,20 +72,20 @@
 	ask(31, "wk-4", []string{"wk-nobody"}, answer{200, protocol.JobPending})
 	ask(31, "wk-6", nil, answer{200, protocol.JobCancelled})
 	// A needed job that another controller accepted a moment before, whose news are late.
-	s.delayResponsesFor("/changes", s.random, 34, 40, 3)
-	s.Submit(35, NewSubmission("wk-new", protocol.ShapeArray, 1, 1, 2, nil))
+	cluster.delayResponsesFor("/changes", cluster.random, 34, 40, 3)
+	cluster.Submit(35, NewSubmission("wk-new", protocol.ShapeArray, 1, 1, 2, nil))
 	for i := range 3 {
 		ask(35.1+float64(i)/20, "wk-after-new", []string{"wk-new"}, pending, answer{200, protocol.JobPending}, answer{503, ""})
 	}
-	s.At(50, func() { s.State.StartOutage(10 * time.Second) })
+	cluster.At(50, func() { cluster.State.StartOutage(10 * time.Second) })
 	ask(55, "wk-y", []string{"wk-nobody"}, answer{503, ""})
 	ask(55, "wk-z", []string{"wk-done"}, answer{503, ""})
-	s.Start()
-	s.Run(70)
-	for _, b := range s.Violations {
-		t.Errorf("rule broken: %s", b)
+	cluster.Start()
+	cluster.Run(70)
+	for _, violation := range cluster.Violations {
+		t.Errorf("rule broken: %s", violation)
 	}
-	if _, stored := s.State.entries["a/j/wk-never"]; stored {
+	if _, stored := cluster.State.entries["a/j/wk-never"]; stored {
 		t.Error("a job that needs one that was never accepted is stored")
 	}
 }
@@ -93,31 +93,31 @@
 // The end of a needed job is read while the state service refuses requests above its limit:
 // it is asked for again after pauses, not as soon as the refusal is there.
 func TestDependencyReadsBackOffWhenThrottled(t *testing.T) {
-	s := NewCluster(3320)
-	s.ServeAPI()
-	addMachines(s, 3, 0)
-	s.Submit(5, NewSubmission("wk-a", protocol.ShapeArray, 1, 1, 2, nil))
-	s.Submit(6, NewSubmission("wk-b", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-a")))
+	cluster := NewCluster(3320)
+	cluster.ServeAPI()
+	addMachines(cluster, 3, 0)
+	cluster.Submit(5, NewSubmission("wk-a", protocol.ShapeArray, 1, 1, 2, nil))
+	cluster.Submit(6, NewSubmission("wk-b", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-a")))
 	asked, over := 0, false
-	s.OnRequest = func(_, _, path string) {
+	cluster.OnRequest = func(_, _, path string) {
 		if over && strings.HasPrefix(path, "/store/"+shard.FinalKey("")) {
 			asked++
 		}
 	}
 	var look func()
 	look = func() {
-		if _, stored := s.State.entries[shard.FinalKey("wk-a")]; !stored {
-			s.after(time.Millisecond, look)
+		if _, stored := cluster.State.entries[shard.FinalKey("wk-a")]; !stored {
+			cluster.after(time.Millisecond, look)
 			return
 		}
 		over = true
-		s.State.requestLimit.perSecond, s.State.requestLimit.tokens = 0, 0
-		s.after(10*time.Second, func() { over, s.State.requestLimit.perSecond = false, s.Settings.Deployment.State.RPS })
+		cluster.State.requestLimit.perSecond, cluster.State.requestLimit.tokens = 0, 0
+		cluster.after(10*time.Second, func() { over, cluster.State.requestLimit.perSecond = false, cluster.Settings.Deployment.State.RPS })
 	}
-	s.At(6, look)
-	s.Start()
-	s.Run(60)
-	expectStatus(t, s, protocol.JobDone, "wk-a", "wk-b")
+	cluster.At(6, look)
+	cluster.Start()
+	cluster.Run(60)
+	expectStatus(t, cluster, protocol.JobDone, "wk-a", "wk-b")
 	if asked < 3 || asked > 60 {
 		t.Errorf("the ends were asked for %d times in 10 s of refusals", asked)
 	}
@@ -128,22 +128,22 @@
 // of that version and is not heard is not waited for.
 func TestDependenciesRefusedDuringRollingUpgrade(t *testing.T) {
 	for _, heard := range []bool{true, false} {
-		s := NewCluster(3310)
-		s.ServeAPI()
-		addMachines(s, 3, 0)
-		s.Controllers["n1"].ReportsOldVersion = true
+		cluster := NewCluster(3310)
+		cluster.ServeAPI()
+		addMachines(cluster, 3, 0)
+		cluster.Controllers["n1"].ReportsOldVersion = true
 		if !heard {
-			s.At(2, func() {
-				for _, n := range []string{"n0", "n2"} {
-					s.CutLink("n1", n)
+			cluster.At(2, func() {
+				for _, name := range []string{"n0", "n2"} {
+					cluster.CutLink("n1", name)
 				}
 			})
 		}
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 1, 1, 2, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 1, 1, 2, nil))
 		var early, late int
 		for i := range 10 {
-			s.At(10+float64(i)/10, func() {
-				s.request("user", s.apiAddress([]string{"n0", "n2"}[i%2]), "POST", "/v2/runs", NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-1")), nil, 5*time.Second, func(status int) {
+			cluster.At(10+float64(i)/10, func() {
+				cluster.request("user", cluster.apiAddress([]string{"n0", "n2"}[i%2]), "POST", "/v2/runs", NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-1")), nil, 5*time.Second, func(status int) {
 					if status/100 == 2 {
 						early++
 					} else if status != 503 {
@@ -152,15 +152,15 @@
 				})
 			})
 		}
-		s.At(15, func() { s.Controllers["n1"].ReportsOldVersion = false })
-		s.Submit(18, NewSubmission("wk-3", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-1")))
-		s.At(19, func() { late = len(s.reportedStatus["wk-3"]) })
-		s.Start()
-		s.Run(40)
+		cluster.At(15, func() { cluster.Controllers["n1"].ReportsOldVersion = false })
+		cluster.Submit(18, NewSubmission("wk-3", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-1")))
+		cluster.At(19, func() { late = len(cluster.reportedStatus["wk-3"]) })
+		cluster.Start()
+		cluster.Run(40)
 		if heard != (early == 0) || late == 0 {
-			t.Errorf("heard %v: accepted %d times before all were new, afterwards %q", heard, early, s.ReportedStatus("wk-3"))
+			t.Errorf("heard %v: accepted %d times before all were new, afterwards %q", heard, early, cluster.ReportedStatus("wk-3"))
 		}
-		expectStatus(t, s, protocol.JobDone, "wk-1", "wk-3")
+		expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-3")
 	}
 }
 
@@ -170,29 +170,29 @@
 func TestEveryControllerReportsCancellationCause(t *testing.T) {
 	met := 0
 	for seed := uint64(3330); seed < 3350; seed++ {
-		s := NewCluster(seed)
-		s.ServeAPI()
-		addMachines(s, 3, 0)
-		s.delayResponsesFor("/changes", s.random, 9, 20, 2)
-		ids := s.submitPipeline(6, "wk-p")
-		s.Cancel(9.1, ids[0])
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 3, 0)
+		cluster.delayResponsesFor("/changes", cluster.random, 9, 20, 2)
+		ids := cluster.submitPipeline(6, "wk-p")
+		cluster.Cancel(9.1, ids[0])
 		for k := range 40 {
-			s.At(9.15+float64(k)/10, func() {
-				for _, n := range s.controllerNames {
+			cluster.At(9.15+float64(k)/10, func() {
+				for _, name := range cluster.controllerNames {
 					for _, id := range ids[1:] {
-						s.Controllers[n].Controller.Poll(id, func(status int, body any, _ int) {
+						cluster.Controllers[name].Controller.Poll(id, func(status int, body any, _ int) {
 							if st, ok := body.(*protocol.JobState); ok && status == 200 && st.Status == protocol.JobCancelled && st.CancelledBy != ids[0] {
-								t.Errorf("seed %d: %s at %s is withdrawn with %q", seed, id, n, st.CancelledBy)
+								t.Errorf("seed %d: %s at %s is withdrawn with %q", seed, id, name, st.CancelledBy)
 							}
 						})
 					}
 				}
 			})
 		}
-		s.Start()
-		s.Run(40)
-		if s.ReportedStatus(ids[0]) == protocol.JobCancelled { // else its end came first
-			expectStatus(t, s, protocol.JobCancelled, ids...)
+		cluster.Start()
+		cluster.Run(40)
+		if cluster.ReportedStatus(ids[0]) == protocol.JobCancelled { // else its end came first
+			expectStatus(t, cluster, protocol.JobCancelled, ids...)
 			met++
 		}
 	}
--- a/internal/simulator/bad_request_test.go
+++ b/internal/simulator/bad_request_test.go
@@ -19,44 +19,44 @@
 func TestInvalidRequestsAtEveryController(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(2900); seed < 2906; seed++ {
-		s := newMonitoredCluster(seed, 75)
-		r := rand.New(rand.NewPCG(seed, 11))
-		addMachines(s, 4, 0)
+		cluster := newMonitoredCluster(seed, 75)
+		random := rand.New(rand.NewPCG(seed, 11))
+		addMachines(cluster, 4, 0)
 		runs := NewSubmission("wk-runs", protocol.ShapeArray, 4, 1, 60, nil)
 		done := NewSubmission("wk-done", protocol.ShapeArray, 2, 1, 2, nil)
 		gone := NewSubmission("wk-gone", protocol.ShapeArray, 2, 1, 60, nil)
-		s.Submit(5, runs)
-		s.Submit(5, done)
-		s.Submit(6, gone)
-		s.Cancel(9, "wk-gone")
+		cluster.Submit(5, runs)
+		cluster.Submit(5, done)
+		cluster.Submit(6, gone)
+		cluster.Cancel(9, "wk-gone")
 		answers := map[string]int{}
-		s.OnResponse = func(method, path string, status int) {
+		cluster.OnResponse = func(method, path string, status int) {
 			if strings.HasPrefix(path, "/v2/runs") {
 				answers[fmt.Sprintf("%s %d", method, status)]++
 			}
 		}
-		s.sendInvalidRequests(0.2, 70, runs)
+		cluster.sendInvalidRequests(0.2, 70, runs)
 		for i := range 160 {
-			sub := []*protocol.Submission{runs, done, gone}[i%3]
-			what := []string{"submit", "ask", "submit", "cancel"}[r.IntN(4)]
-			if what == "cancel" && sub == runs {
+			submission := []*protocol.Submission{runs, done, gone}[i%3]
+			what := []string{"submit", "ask", "submit", "cancel"}[random.IntN(4)]
+			if what == "cancel" && submission == runs {
 				what = "ask"
 			}
-			s.At(12+0.4*float64(i), func() { s.repeatRequest(s.controllerNames[i/3%3], what, sub) })
+			cluster.At(12+0.4*float64(i), func() { cluster.repeatRequest(cluster.controllerNames[i/3%3], what, submission) })
 		}
-		s.At(20, func() { s.State.StartOutage(9 * time.Second) })
-		s.refuseControllersFor(33, 41, leaderOnly)
-		s.delayResponsesFor("/", r, 44, 50, 1.5)
-		s.restartQuickly(52, 0.3, s.leaderProcess)
-		s.crashFor(58, 60, s.controllerNames...)
-		s.Start()
-		s.Run(140)
-		for _, wrong := range s.checkDay(false) {
+		cluster.At(20, func() { cluster.State.StartOutage(9 * time.Second) })
+		cluster.refuseControllersFor(33, 41, leaderOnly)
+		cluster.delayResponsesFor("/", random, 44, 50, 1.5)
+		cluster.restartQuickly(52, 0.3, cluster.leaderProcess)
+		cluster.crashFor(58, 60, cluster.controllerNames...)
+		cluster.Start()
+		cluster.Run(140)
+		for _, wrong := range cluster.checkDay(false) {
 			t.Errorf("seed %d: %s", seed, wrong)
 		}
-		expectStatus(t, s, protocol.JobDone, "wk-runs", "wk-done")
-		expectStatus(t, s, protocol.JobCancelled, "wk-gone")
-		for _, change := range s.State.changeLog {
+		expectStatus(t, cluster, protocol.JobDone, "wk-runs", "wk-done")
+		expectStatus(t, cluster, protocol.JobCancelled, "wk-gone")
+		for _, change := range cluster.State.changeLog {
 			if strings.HasPrefix(change.Put, shard.JobKey("wk-x")) || strings.HasPrefix(change.Put, shard.JobKey("wk-y")) {
 				t.Errorf("seed %d: %s was stored", seed, change.Put)
 			}
--- a/internal/simulator/boot_test.go
+++ b/internal/simulator/boot_test.go
@@ -17,13 +17,13 @@
 // No task runs twice, each machine is used or returned, and everything ends.
 func TestMachinesBootWhileWritesLagAndLeaderFails(t *testing.T) {
 	t.Parallel()
-	lags := map[string]func(s *Cluster){
-		"late":         func(s *Cluster) { s.delayRequestsFor(8, 30, 0.5, 2, 12, "/multi") },
-		"answers lost": func(s *Cluster) { s.delayRequestsFor(8, 30, 0.6, 0.001, 0.002, "/multi") },
-		"slow":         func(s *Cluster) { s.delayResponsesFor("/multi", s.random, 8, 30, 1.6) },
-		"rentals unsure": func(s *Cluster) {
-			s.delayRequestsFor(8, 30, 0.5, 0.05, 4, "/rentals")
-			s.delayRequestsFor(8, 30, 0.3, 2, 9, "/multi")
+	lags := map[string]func(cluster *Cluster){
+		"late":         func(cluster *Cluster) { cluster.delayRequestsFor(8, 30, 0.5, 2, 12, "/multi") },
+		"answers lost": func(cluster *Cluster) { cluster.delayRequestsFor(8, 30, 0.6, 0.001, 0.002, "/multi") },
+		"slow":         func(cluster *Cluster) { cluster.delayResponsesFor("/multi", cluster.random, 8, 30, 1.6) },
+		"rentals unsure": func(cluster *Cluster) {
+			cluster.delayRequestsFor(8, 30, 0.5, 0.05, 4, "/rentals")
+			cluster.delayRequestsFor(8, 30, 0.3, 2, 9, "/multi")
 		},
 	}
 	seed, rented, cutOff := uint64(2500), 0, 0
@@ -31,56 +31,56 @@
 		for _, single := range []bool{false, true} {
 			for _, after := range []float64{0, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.5, 3, 6} { // the first rental
 				seed++
-				s := newMonitoredCluster(seed, 60)
-				s.Cloud.BootTimeFactor = 0.06
-				for _, z := range []string{"a", "b"} {
-					s.Cloud.Capacity["small/"+z+"/false"] = 5
-					s.Cloud.Capacity["small/"+z+"/true"] = 3
+				cluster := newMonitoredCluster(seed, 60)
+				cluster.Cloud.BootTimeFactor = 0.06
+				for _, zone := range []string{"a", "b"} {
+					cluster.Cloud.Capacity["small/"+zone+"/false"] = 5
+					cluster.Cloud.Capacity["small/"+zone+"/true"] = 3
 				}
-				addMachines(s, 2, 0)
-				lags[lag](s)
+				addMachines(cluster, 2, 0)
+				lags[lag](cluster)
 				if single {
-					for _, n := range s.controllerNames {
-						s.Controllers[n].settings.Dispatch.Anywhere = 0
+					for _, name := range cluster.controllerNames {
+						cluster.Controllers[name].settings.Dispatch.Anywhere = 0
 					}
 					for i := range 30 {
-						s.Submit(9+float64(i)/10, NewSubmission(fmt.Sprintf("wk-s%d", i), protocol.ShapeArray, 1, 1, 8, nil))
+						cluster.Submit(9+float64(i)/10, NewSubmission(fmt.Sprintf("wk-s%d", i), protocol.ShapeArray, 1, 1, 8, nil))
 					}
 				} else {
-					submitArrays(s, "wk-a", 9, 4, 10, 8)
-					s.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 3, 4, 8, nil))
+					submitArrays(cluster, "wk-a", 9, 4, 10, 8)
+					cluster.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 3, 4, 8, nil))
 				}
 				met := false
-				s.OnRequest = func(_, method, path string) {
+				cluster.OnRequest = func(_, method, path string) {
 					if method == "POST" && path == "/rentals" && !met {
 						met = true
 						rented++
-						end := s.now.Seconds() + 0.6 + after
+						end := cluster.now.Seconds() + 0.6 + after
 						if seed%2 == 0 {
-							s.restartQuickly(end, 0.2+after/2, s.leaderProcess)
-							s.restartQuickly(end+2, 5, s.leaderProcess)
+							cluster.restartQuickly(end, 0.2+after/2, cluster.leaderProcess)
+							cluster.restartQuickly(end+2, 5, cluster.leaderProcess)
 							return
 						}
-						s.At(end, func() {
-							for i, id := range s.machineIDs() {
-								if w := s.Machines[id]; i%2 == 0 && len(w.attempts) > 0 {
+						cluster.At(end, func() {
+							for i, id := range cluster.machineIDs() {
+								if machine := cluster.Machines[id]; i%2 == 0 && len(machine.attempts) > 0 {
 									cutOff++
-									s.cutLinksFor(s.now.Seconds(), s.now.Seconds()+25, s.machineLinks(w))
+									cluster.cutLinksFor(cluster.now.Seconds(), cluster.now.Seconds()+25, cluster.machineLinks(machine))
 								}
 							}
-							s.crashFor(s.now.Seconds(), s.now.Seconds()+0.5, s.controllerNames...)
+							cluster.crashFor(cluster.now.Seconds(), cluster.now.Seconds()+0.5, cluster.controllerNames...)
 						})
 					}
 				}
-				s.Start()
-				s.Run(300)
+				cluster.Start()
+				cluster.Run(300)
 				what := fmt.Sprintf("%s, single tasks %v, the leader ends %v s after the rental (seed %d)", lag, single, after, seed)
-				for _, wrong := range s.checkDay(false) {
+				for _, wrong := range cluster.checkDay(false) {
 					t.Errorf("%s: %s", what, wrong)
 				}
-				for _, id := range s.machineIDs() { // by then idle for minutes
-					if w := s.Machines[id]; !w.deleted && s.Controllers[s.leaderProcess().name].Controller.DebugState().Machines < len(s.runningMachines()) {
-						t.Errorf("%s: %s is known to nobody and stays", what, w.id)
+				for _, id := range cluster.machineIDs() { // by then idle for minutes
+					if machine := cluster.Machines[id]; !machine.deleted && cluster.Controllers[cluster.leaderProcess().name].Controller.DebugState().Machines < len(cluster.runningMachines()) {
+						t.Errorf("%s: %s is known to nobody and stays", what, machine.id)
 						break
 					}
 				}
@@ -93,11 +93,11 @@
 }
 
 // runningMachines lists the machines that are up.
-func (c *Cluster) runningMachines() (up []*Machine) {
+func (c *Cluster) runningMachines() (running []*Machine) {
 	for _, id := range c.machineIDs() {
-		if w := c.Machines[id]; w.running && !w.deleted {
-			up = append(up, w)
+		if machine := c.Machines[id]; machine.running && !machine.deleted {
+			running = append(running, machine)
 		}
 	}
-	return up
+	return running
 }
--- a/internal/simulator/combined_test.go
+++ b/internal/simulator/combined_test.go
@@ -15,131 +15,131 @@
 // combinedFaults are the users' second list for random days (see delayedMessages): each is
 // two or three troubles in the same moments, and random days have others beside them.
 var combinedFaults = []fault{
-	{"users ask all nodes within milliseconds", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.At(at, func() { s.pollEveryController(r, 0.2) })
-		s.At(at+4*length, func() { s.OnStatusReported = nil })
+	{"users ask all nodes within milliseconds", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.At(at, func() { cluster.pollEveryController(random, 0.2) })
+		cluster.At(at+4*length, func() { cluster.OnStatusReported = nil })
 	}},
-	{"answers of transactions lost", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayRequestsFor(at, at+2*length, 0.3+0.5*r.Float64(), 0.001, 0.003, "/multi")
+	{"answers of transactions lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+2*length, 0.3+0.5*random.Float64(), 0.001, 0.003, "/multi")
 	}},
-	{"every team at its limit, cancellations, machines not to be had, the leader ends", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
+	{"every team at its limit, cancellations, machines not to be had, the leader ends", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		for i, team := range []string{"blue", "green"} {
-			of := func(x *protocol.Submission) { x.Team = stringPointer(team) }
-			s.Submit(at-4+float64(i)/2, NewSubmission("wk-l"+team, protocol.ShapeArray, 3, 1, 60, of))
-			s.Submit(at-3+float64(i)/2, NewSubmission("wk-n"+team, protocol.ShapeArray, 2+r.IntN(5), 1, 3+6*r.Float64(), of))
-			s.Cancel(at+r.Float64(), "wk-l"+team)
-			s.At(at-0.3, func() {
+			of := func(submission *protocol.Submission) { submission.Team = stringPointer(team) }
+			cluster.Submit(at-4+float64(i)/2, NewSubmission("wk-l"+team, protocol.ShapeArray, 3, 1, 60, of))
+			cluster.Submit(at-3+float64(i)/2, NewSubmission("wk-n"+team, protocol.ShapeArray, 2+random.IntN(5), 1, 3+6*random.Float64(), of))
+			cluster.Cancel(at+random.Float64(), "wk-l"+team)
+			cluster.At(at-0.3, func() {
 				kinds := slices.Sorted(maps.Keys(unreachable))
-				for _, x := range s.machinesWith("wk-l" + team) {
-					if r.IntN(3) > 0 {
-						unreachable[kinds[r.IntN(len(kinds))]](s, x, s.now.Seconds(), at+3*length)
+				for _, machine := range cluster.machinesWith("wk-l" + team) {
+					if random.IntN(3) > 0 {
+						unreachable[kinds[random.IntN(len(kinds))]](cluster, machine, cluster.now.Seconds(), at+3*length)
 					}
 				}
 			})
 		}
-		for range 1 + r.IntN(3) {
-			s.restartQuickly(at-1+length*r.Float64(), 6*r.Float64(), []func() *ControllerProcess{s.leaderProcess, s.nonLeaderOwner, s.largestOwner}[r.IntN(3)])
+		for range 1 + random.IntN(3) {
+			cluster.restartQuickly(at-1+length*random.Float64(), 6*random.Float64(), []func() *ControllerProcess{cluster.leaderProcess, cluster.nonLeaderOwner, cluster.largestOwner}[random.IntN(3)])
 		}
 	}},
-	{"cancelled while work changes hands", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
+	{"cancelled while work changes hands", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		ways := slices.Sorted(maps.Keys(handOvers))
-		handOvers[ways[r.IntN(len(ways))]](s, at)
-		s.DropCancellationNotices = r.IntN(2) == 0
+		handOvers[ways[random.IntN(len(ways))]](cluster, at)
+		cluster.DropCancellationNotices = random.IntN(2) == 0
 		for i := range 12 {
 			id := fmt.Sprintf("wk-h%d", i)
-			s.Submit(at-5+9*r.Float64(), NewSubmission(id, protocol.ShapeArray, 1+r.IntN(2), 0.5, 30, nil))
-			s.Cancel(at-1+2*length*r.Float64(), id)
+			cluster.Submit(at-5+9*random.Float64(), NewSubmission(id, protocol.ShapeArray, 1+random.IntN(2), 0.5, 30, nil))
+			cluster.Cancel(at-1+2*length*random.Float64(), id)
 		}
 	}},
-	{"new machines at once, writes late, all end, some can't be asked", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayRequestsFor(at-1, at+length, 0.3+0.4*r.Float64(), []float64{0.001, 2}[r.IntN(2)], 8, "/multi")
-		for range 2 + r.IntN(3) {
-			s.At(at+r.Float64(), func() { s.AddMachine("small", []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0) })
+	{"new machines at once, writes late, all end, some can't be asked", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), []float64{0.001, 2}[random.IntN(2)], 8, "/multi")
+		for range 2 + random.IntN(3) {
+			cluster.At(at+random.Float64(), func() { cluster.AddMachine("small", []string{"a", "b"}[random.IntN(2)], random.IntN(2) == 0) })
 		}
-		submitArrays(s, "wk-n", at, 3, 4, 3+6*r.Float64())
-		s.At(at+1+2*r.Float64(), func() {
-			for _, x := range s.runningMachines() {
-				if r.IntN(3) == 0 {
-					s.cutLinksFor(s.now.Seconds(), s.now.Seconds()+2*length, s.machineLinks(x))
+		submitArrays(cluster, "wk-n", at, 3, 4, 3+6*random.Float64())
+		cluster.At(at+1+2*random.Float64(), func() {
+			for _, machine := range cluster.runningMachines() {
+				if random.IntN(3) == 0 {
+					cluster.cutLinksFor(cluster.now.Seconds(), cluster.now.Seconds()+2*length, cluster.machineLinks(machine))
 				}
 			}
-			s.crashFor(s.now.Seconds(), s.now.Seconds()+0.3+2*r.Float64(), s.controllerNames...)
+			cluster.crashFor(cluster.now.Seconds(), cluster.now.Seconds()+0.3+2*random.Float64(), cluster.controllerNames...)
 		})
 	}},
-	{"old reports reach the controllers as a leader begins", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		kept := s.keepReports(at-6, at, r.IntN(2) == 0)
-		s.onLeaderChange(at, func() {
-			for _, n := range s.runningControllers() {
+	{"old reports reach the controllers as a leader begins", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		kept := cluster.keepReports(at-6, at, random.IntN(2) == 0)
+		cluster.onLeaderChange(at, func() {
+			for _, name := range cluster.runningControllers() {
 				for _, body := range *kept {
-					if r.IntN(3) == 0 {
-						s.after(time.Duration(length*r.Float64()*r.Float64()*float64(time.Second)), func() {
-							s.handlers[s.apiAddress(n)]("POST", "/v1/report", body, func(int, any) {})
+					if random.IntN(3) == 0 {
+						cluster.after(time.Duration(length*random.Float64()*random.Float64()*float64(time.Second)), func() {
+							cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {})
 						})
 					}
 				}
 			}
 		})
-		s.restartQuickly(at, 0.2+2*length*r.Float64(), s.leaderProcess)
-		s.restartQuickly(at+length*r.Float64(), 0.3, s.nonLeaderOwner)
+		cluster.restartQuickly(at, 0.2+2*length*random.Float64(), cluster.leaderProcess)
+		cluster.restartQuickly(at+length*random.Float64(), 0.3, cluster.nonLeaderOwner)
 	}},
-	{"single tasks, a quarter cancelled", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
+	{"single tasks, a quarter cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		for i := range int(8 * length) {
 			id, t := fmt.Sprintf("wk-q%d", i), at+float64(i)/4
-			s.Submit(t, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+4*r.Float64(), nil))
-			if r.IntN(4) == 0 {
-				s.Cancel(t+6*r.Float64()*r.Float64(), id)
+			cluster.Submit(t, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+4*random.Float64(), nil))
+			if random.IntN(4) == 0 {
+				cluster.Cancel(t+6*random.Float64()*random.Float64(), id)
 			}
 		}
-		s.restartQuickly(at+2*length*r.Float64(), 0.3+4*r.Float64(), s.leaderProcess)
+		cluster.restartQuickly(at+2*length*random.Float64(), 0.3+4*random.Float64(), cluster.leaderProcess)
 	}},
-	{"commands of an owner that ends arrive late", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		s.At(at-1, func() {
-			n, late := s.controllerNames[r.IntN(3)], 16*r.Float64()
-			s.DelayedRequests = append(s.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
-				return time.Duration(late * (0.5 + 0.5*s.random.Float64()) * float64(time.Second)), path == "/orders" && from == n && s.now.Seconds() < at+1
+	{"commands of an owner that ends arrive late", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		cluster.At(at-1, func() {
+			name, late := cluster.controllerNames[random.IntN(3)], 16*random.Float64()
+			cluster.DelayedRequests = append(cluster.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
+				return time.Duration(late * (0.5 + 0.5*cluster.random.Float64()) * float64(time.Second)), path == "/orders" && from == name && cluster.now.Seconds() < at+1
 			})
-			s.restartQuickly(at, 0.2+2*length*r.Float64(), func() *ControllerProcess { return s.Controllers[n] })
-			for _, x := range w {
-				for _, o := range s.controllerNames {
-					if o != n && r.IntN(5) == 0 {
-						s.cutLinksFor(at-0.5, at+length, [][2]string{{x.Address(), o}, {x.Address(), s.apiAddress(o)}})
+			cluster.restartQuickly(at, 0.2+2*length*random.Float64(), func() *ControllerProcess { return cluster.Controllers[name] })
+			for _, machine := range machines {
+				for _, o := range cluster.controllerNames {
+					if o != name && random.IntN(5) == 0 {
+						cluster.cutLinksFor(at-0.5, at+length, [][2]string{{machine.Address(), o}, {machine.Address(), cluster.apiAddress(o)}})
 					}
 				}
 			}
 		})
 	}},
-	{"jobs that run are cancelled and their machines hang", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		lease := s.Settings.Deployment.Workers.Lease
-		s.At(at, func() {
+	{"jobs that run are cancelled and their machines hang", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		lease := cluster.Settings.Deployment.Workers.Lease
+		cluster.At(at, func() {
 			for i := range 5 {
 				id := fmt.Sprintf("wk-%d", i+1)
-				for _, x := range s.machinesWith(id) {
-					if r.IntN(2) == 0 {
-						x.Hung = true
-						s.after(time.Duration(lease*(0.3+r.Float64())*float64(time.Second)), func() { x.Hung = false })
+				for _, machine := range cluster.machinesWith(id) {
+					if random.IntN(2) == 0 {
+						machine.Hung = true
+						cluster.after(time.Duration(lease*(0.3+random.Float64())*float64(time.Second)), func() { machine.Hung = false })
 					}
 				}
-				if r.IntN(2) == 0 && s.reportedStatus[id] != "" {
-					s.requestCancellation(id)
+				if random.IntN(2) == 0 && cluster.reportedStatus[id] != "" {
+					cluster.requestCancellation(id)
 				}
 			}
 		})
-		s.restartQuickly(at+length*r.Float64(), 0.3, s.leaderProcess)
+		cluster.restartQuickly(at+length*random.Float64(), 0.3, cluster.leaderProcess)
 	}},
-	{"jobs are cancelled as they end, writes late", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayRequestsFor(at, at+2*length, 0.3, []float64{0.001, 1}[r.IntN(2)], 5, "/multi")
-		s.At(at, func() {
-			s.OnJobCompleted = func(id string) {
-				if r.IntN(3) > 0 || s.reportedStatus[id] == "" {
+	{"jobs are cancelled as they end, writes late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+2*length, 0.3, []float64{0.001, 1}[random.IntN(2)], 5, "/multi")
+		cluster.At(at, func() {
+			cluster.OnJobCompleted = func(id string) {
+				if random.IntN(3) > 0 || cluster.reportedStatus[id] == "" {
 					return
 				}
 				for range 3 {
-					what := []string{"ask", "submit", "cancel"}[r.IntN(3)]
-					s.after(time.Duration(0.4*r.Float64()*r.Float64()*float64(time.Second)), func() { s.repeatRequest(s.controllerNames[r.IntN(3)], what, s.submissions[id]) })
+					what := []string{"ask", "submit", "cancel"}[random.IntN(3)]
+					cluster.after(time.Duration(0.4*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, cluster.submissions[id]) })
 				}
 			}
 		})
-		s.At(at+4*length, func() { s.OnJobCompleted = nil })
+		cluster.At(at+4*length, func() { cluster.OnJobCompleted = nil })
 	}},
 }
 
@@ -152,22 +152,22 @@
 	t.Parallel()
 	for i, c := range combinedFaults {
 		for seed := uint64(3000); seed < 3004; seed++ {
-			s := NewCluster(seed + 10*uint64(i))
-			s.ServeAPI()
-			r := rand.New(rand.NewPCG(seed, 13))
-			s.histories.FaultsOver = 75 * time.Second
-			s.monitorWaitingJobs()
-			w := addMachines(s, 8, 0)
+			cluster := NewCluster(seed + 10*uint64(i))
+			cluster.ServeAPI()
+			random := rand.New(rand.NewPCG(seed, 13))
+			cluster.histories.FaultsOver = 75 * time.Second
+			cluster.monitorWaitingJobs()
+			machines := addMachines(cluster, 8, 0)
 			for k := range 6 {
-				s.Submit(4+float64(k), NewSubmission(fmt.Sprintf("wk-%d", k+1), protocol.ShapeArray, 2+k, 1, 5+3*float64(k), nil))
+				cluster.Submit(4+float64(k), NewSubmission(fmt.Sprintf("wk-%d", k+1), protocol.ShapeArray, 2+k, 1, 5+3*float64(k), nil))
 			}
-			c.do(s, r, w, 13, 6)
-			s.Start()
-			s.Run(220)
-			for _, wrong := range s.checkDay(false) {
+			c.do(cluster, random, machines, 13, 6)
+			cluster.Start()
+			cluster.Run(220)
+			for _, wrong := range cluster.checkDay(false) {
 				t.Errorf("%s, seed %d: %s", c.name, seed, wrong)
 			}
-			if strings.Count(s.TraceText(), " starts ") < 20 {
+			if strings.Count(cluster.TraceText(), " starts ") < 20 {
 				t.Errorf("%s, seed %d: hardly anything ran", c.name, seed)
 			}
 		}
--- a/internal/simulator/days_test.go
+++ b/internal/simulator/days_test.go
@@ -13,18 +13,18 @@
 var update = flag.Bool("update", false, "write the traces anew")
 
 // playTraced plays a scenario and compares its trace with the kept one.
-func playTraced(t *testing.T, name string, seed uint64, until float64, script func(s *Cluster)) *Cluster {
+func playTraced(t *testing.T, name string, seed uint64, until float64, script func(cluster *Cluster)) *Cluster {
 	t.Helper()
-	s := NewCluster(seed)
-	s.ServeAPI()
-	script(s)
-	s.Start()
-	s.Run(until)
-	for _, b := range s.Violations {
-		t.Errorf("rule broken: %s", b)
+	cluster := NewCluster(seed)
+	cluster.ServeAPI()
+	script(cluster)
+	cluster.Start()
+	cluster.Run(until)
+	for _, violation := range cluster.Violations {
+		t.Errorf("rule broken: %s", violation)
 	}
-	compareTrace(t, name, s.TraceText())
-	return s
+	compareTrace(t, name, cluster.TraceText())
+	return cluster
 }
 
 // compareTrace compares a trace with the kept one.
@@ -51,20 +51,20 @@
 	}
 }
 
-func addMachines(s *Cluster, smalls, bigs int) (ids []*Machine) {
+func addMachines(cluster *Cluster, smalls, bigs int) (ids []*Machine) {
 	for i := 0; i < smalls; i++ {
-		ids = append(ids, s.AddMachine("small", []string{"a", "b"}[i%2], false))
+		ids = append(ids, cluster.AddMachine("small", []string{"a", "b"}[i%2], false))
 	}
 	for i := 0; i < bigs; i++ {
-		ids = append(ids, s.AddMachine("big", []string{"a", "b"}[i%2], false))
+		ids = append(ids, cluster.AddMachine("big", []string{"a", "b"}[i%2], false))
 	}
 	return ids
 }
 
-func expectStatus(t *testing.T, s *Cluster, want protocol.JobStatus, ids ...string) {
+func expectStatus(t *testing.T, cluster *Cluster, want protocol.JobStatus, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
-		if got := s.ReportedStatus(id); got != want {
+		if got := cluster.ReportedStatus(id); got != want {
 			t.Errorf("%s: its user was told %q, want %q", id, got, want)
 		}
 	}
@@ -73,21 +73,21 @@
 // cutLinksFor parts pairs of hosts from one time to another, in seconds.
 func (c *Cluster) cutLinksFor(from, to float64, pairs [][2]string) {
 	c.At(from, func() {
-		for _, p := range pairs {
-			c.CutLink(p[0], p[1])
+		for _, pair := range pairs {
+			c.CutLink(pair[0], pair[1])
 		}
 	})
 	c.At(to, func() {
-		for _, p := range pairs {
-			c.HealLink(p[0], p[1])
+		for _, pair := range pairs {
+			c.HealLink(pair[0], pair[1])
 		}
 	})
 }
 
 // machineLinks are a machine's ways to and from all controllers.
-func (c *Cluster) machineLinks(w *Machine) (pairs [][2]string) {
-	for _, n := range c.controllerNames {
-		pairs = append(pairs, [2]string{w.Address(), c.apiAddress(n)}, [2]string{w.Address(), c.address(n)})
+func (c *Cluster) machineLinks(machine *Machine) (pairs [][2]string) {
+	for _, name := range c.controllerNames {
+		pairs = append(pairs, [2]string{machine.Address(), c.apiAddress(name)}, [2]string{machine.Address(), c.address(name)})
 	}
 	return pairs
 }
@@ -96,31 +96,31 @@
 
 // All shapes on a quiet day; machines are rented for what finds no room.
 func TestFaultFreeOperation(t *testing.T) {
-	s := playTraced(t, "normal", 1, 120, func(s *Cluster) {
-		addMachines(s, 6, 1)
-		s.Cloud.Capacity["small/a/true"] = 3
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 10, nil))
-		s.Submit(6, NewSubmission("wk-2", protocol.ShapeGang, 3, 3, 10, func(x *protocol.Submission) { yes := true; x.SingleZone = &yes }))
-		s.Submit(7, NewSubmission("wk-3", protocol.ShapeService, 2, 1, 0, nil))
-		s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 40, 1, 12, nil))
-		s.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 1, 40, 12, nil)) // fits no machine
-		s.Submit(9, NewSubmission("wk-6", protocol.ShapeArray, 8, 1, 6, func(x *protocol.Submission) { x.Team = stringPointer("blue") }))
-		s.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 6, func(x *protocol.Submission) { x.Team = stringPointer("nobody") }))
-		s.Submit(10, NewSubmission("wk-8", protocol.ShapeArray, 5, 1, 8, func(x *protocol.Submission) { yes := true; x.SpreadZones = &yes }))
-		s.TraceRequest(15, "GET", "/v2/runs/wk-404", nil)
-		s.TraceRequest(16, "POST", "/v2/runs", map[string]any{"id": "wk-9", "cores": "x"})
-		s.TraceRequest(90, "POST", "/v2/runs", map[string]any{"id": "wk-1", "cores": "x"}) // a repeat is 200 whatever it holds
-		s.Cancel(60, "wk-3")
+	cluster := playTraced(t, "normal", 1, 120, func(cluster *Cluster) {
+		addMachines(cluster, 6, 1)
+		cluster.Cloud.Capacity["small/a/true"] = 3
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 10, nil))
+		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeGang, 3, 3, 10, func(submission *protocol.Submission) { yes := true; submission.SingleZone = &yes }))
+		cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeService, 2, 1, 0, nil))
+		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 40, 1, 12, nil))
+		cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 1, 40, 12, nil)) // fits no machine
+		cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeArray, 8, 1, 6, func(submission *protocol.Submission) { submission.Team = stringPointer("blue") }))
+		cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 6, func(submission *protocol.Submission) { submission.Team = stringPointer("nobody") }))
+		cluster.Submit(10, NewSubmission("wk-8", protocol.ShapeArray, 5, 1, 8, func(submission *protocol.Submission) { yes := true; submission.SpreadZones = &yes }))
+		cluster.TraceRequest(15, "GET", "/v2/runs/wk-404", nil)
+		cluster.TraceRequest(16, "POST", "/v2/runs", map[string]any{"id": "wk-9", "cores": "x"})
+		cluster.TraceRequest(90, "POST", "/v2/runs", map[string]any{"id": "wk-1", "cores": "x"}) // a repeat is 200 whatever it holds
+		cluster.Cancel(60, "wk-3")
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2", "wk-4", "wk-6", "wk-8")
-	expectStatus(t, s, protocol.JobCancelled, "wk-3")
-	expectStatus(t, s, "", "wk-5", "wk-7")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-4", "wk-6", "wk-8")
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-3")
+	expectStatus(t, cluster, "", "wk-5", "wk-7")
 	seen := map[string]bool{}
-	for _, n := range s.Cloud.RequestIDs {
-		if seen[n] {
-			t.Errorf("hire name %s was used twice without need", n)
+	for _, name := range cluster.Cloud.RequestIDs {
+		if seen[name] {
+			t.Errorf("hire name %s was used twice without need", name)
 		}
-		seen[n] = true
+		seen[name] = true
 	}
 	if len(seen) == 0 {
 		t.Error("nothing was rented")
@@ -129,59 +129,59 @@
 
 // A controller is lost in the middle and returns; its work goes on.
 func TestControllerFailsAndReturns(t *testing.T) {
-	s := playTraced(t, "controller-lost", 2, 90, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
-		s.At(15, func() { s.Controllers["n1"].Crash() })
-		s.At(18, func() { s.Controllers["n1"].Start() })
+	cluster := playTraced(t, "controller-lost", 2, 90, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.At(15, func() { cluster.Controllers["n1"].Crash() })
+		cluster.At(18, func() { cluster.Controllers["n1"].Start() })
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 24 {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
 		t.Errorf("%d starts of 24 tasks: a lost controller cost work", n)
 	}
 }
 
 // One that does not return is replaced before the leases end.
 func TestControllerFailsForGood(t *testing.T) {
-	s := playTraced(t, "controller-away", 3, 90, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
-		s.At(12, func() { s.Controllers["n0"].Crash() })
+	cluster := playTraced(t, "controller-away", 3, 90, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.At(12, func() { cluster.Controllers["n0"].Crash() })
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	if strings.Contains(s.TraceText(), "lease over") {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	if strings.Contains(cluster.TraceText(), "lease over") {
 		t.Error("workers lost their leases")
 	}
 }
 
 // All controllers end at once.
 func TestAllControllersCrash(t *testing.T) {
-	s := playTraced(t, "all-crash", 4, 90, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
-		s.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5, nil))
-		s.At(20, func() {
-			for _, n := range []string{"n0", "n1", "n2"} {
-				s.Controllers[n].Crash()
+	cluster := playTraced(t, "all-crash", 4, 90, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5, nil))
+		cluster.At(20, func() {
+			for _, name := range []string{"n0", "n1", "n2"} {
+				cluster.Controllers[name].Crash()
 			}
 		})
-		s.At(24, func() { s.Start() })
+		cluster.At(24, func() { cluster.Start() })
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
 }
 
 // An outage shorter than the grants costs no leases and no tasks.
 func TestStateOutage(t *testing.T) {
-	s := playTraced(t, "state-outage", 5, 90, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
-		s.At(12, func() { s.State.StartOutage(10 * time.Second) })
-		s.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5, nil))
-		s.Cancel(15, "wk-1")
+	cluster := playTraced(t, "state-outage", 5, 90, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.At(12, func() { cluster.State.StartOutage(10 * time.Second) })
+		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5, nil))
+		cluster.Cancel(15, "wk-1")
 	})
-	expectStatus(t, s, protocol.JobCancelled, "wk-1")
-	expectStatus(t, s, protocol.JobDone, "wk-2")
-	if strings.Contains(s.TraceText(), "lease over") {
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-1")
+	expectStatus(t, cluster, protocol.JobDone, "wk-2")
+	if strings.Contains(cluster.TraceText(), "lease over") {
 		t.Error("an ordinary outage cost workers their leases")
 	}
 }
@@ -189,16 +189,16 @@
 // An owner is cut from the state service; what it sent arrives after another
 // has taken its part. Its late writes must fail.
 func TestLateTransactions(t *testing.T) {
-	playTraced(t, "late-transactions", 6, 150, func(s *Cluster) {
-		addMachines(s, 6, 0)
+	playTraced(t, "late-transactions", 6, 150, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
-			s.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14, nil))
+			cluster.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14, nil))
 		}
-		s.At(13, func() { s.CutLink("n0", "state") })
-		s.Cancel(15, "wk-2")
-		s.At(45, func() { s.HealLink("n0", "state") })
-		s.At(70, func() { s.CutLink("n1", "state") })
-		s.At(95, func() { s.HealLink("n1", "state") })
+		cluster.At(13, func() { cluster.CutLink("n0", "state") })
+		cluster.Cancel(15, "wk-2")
+		cluster.At(45, func() { cluster.HealLink("n0", "state") })
+		cluster.At(70, func() { cluster.CutLink("n1", "state") })
+		cluster.At(95, func() { cluster.HealLink("n1", "state") })
 	})
 }
 
@@ -206,26 +206,26 @@
 // waits for a peer that nobody starts. The next owner starts the gang anew, long
 // before gang_wait_s (40 s) is over.
 func TestOwnerFailsBetweenGangLaunches(t *testing.T) {
-	s := playTraced(t, "half-a-gang", 61, 60, func(s *Cluster) {
-		w := addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10, nil))
+	cluster := playTraced(t, "half-a-gang", 61, 60, func(cluster *Cluster) {
+		machines := addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10, nil))
 		launches := 0
-		s.OnRequest = func(from, _, path string) {
-			if s.now < 5*time.Second || !strings.Contains(path, "/orders") {
+		cluster.OnRequest = func(from, _, path string) {
+			if cluster.now < 5*time.Second || !strings.Contains(path, "/orders") {
 				return
 			}
 			if launches++; launches != 2 {
 				return
 			}
-			h := s.controllers[from]
-			for _, x := range w {
-				s.CutLink(h.name, x.Address())
+			process := cluster.controllers[from]
+			for _, machine := range machines {
+				cluster.CutLink(process.name, machine.Address())
 			}
-			s.after(50*time.Millisecond, func() { h.Crash() })
+			cluster.after(50*time.Millisecond, func() { process.Crash() })
 		}
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 3 {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 3 {
 		t.Errorf("%d starts of two tasks, want three: one waited in vain", n)
 	}
 }
@@ -233,66 +233,69 @@
 // A machine is silent past its lease: its tasks run again only then, or once
 // the cloud has deleted it.
 func TestMachineSilentPastItsLease(t *testing.T) {
-	s := playTraced(t, "silent-worker", 7, 110, func(s *Cluster) {
-		w := addMachines(s, 4, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30, nil))
-		s.cutLinksFor(12, 60, s.machineLinks(w[0]))
+	cluster := playTraced(t, "silent-worker", 7, 110, func(cluster *Cluster) {
+		machines := addMachines(cluster, 4, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30, nil))
+		cluster.cutLinksFor(12, 60, cluster.machineLinks(machines[0]))
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
 }
 
 // A hung machine resumes within its lease, with orders that were held back.
 func TestHungMachineResumesWithinItsLease(t *testing.T) {
-	s := playTraced(t, "hung-worker", 8, 110, func(s *Cluster) {
-		w := addMachines(s, 4, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30, nil))
-		s.Submit(8, NewSubmission("wk-2", protocol.ShapeArray, 8, 1, 10, nil))
-		s.At(7, func() { w[1].Hung = true })
-		s.At(16, func() { w[1].Hung = false })
-		s.Cancel(12, "wk-2")
+	cluster := playTraced(t, "hung-worker", 8, 110, func(cluster *Cluster) {
+		machines := addMachines(cluster, 4, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30, nil))
+		cluster.Submit(8, NewSubmission("wk-2", protocol.ShapeArray, 8, 1, 10, nil))
+		cluster.At(7, func() { machines[1].Hung = true })
+		cluster.At(16, func() { machines[1].Hung = false })
+		cluster.Cancel(12, "wk-2")
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	expectStatus(t, s, protocol.JobCancelled, "wk-2")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-2")
 }
 
 // A spot notice: what can save is stopped in time and goes on elsewhere.
 func TestSpotNotice(t *testing.T) {
-	s := playTraced(t, "spot-notice", 9, 110, func(s *Cluster) {
-		w := s.AddMachine("small", "a", true)
-		addMachines(s, 2, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40, func(x *protocol.Submission) { m, v := 10.0, 2.0; x.CheckpointInterval, x.CheckpointDuration = &m, &v }))
-		s.At(20, func() { w.AnnounceEviction(8 * time.Second) })
+	cluster := playTraced(t, "spot-notice", 9, 110, func(cluster *Cluster) {
+		machine := cluster.AddMachine("small", "a", true)
+		addMachines(cluster, 2, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40, func(submission *protocol.Submission) {
+			m, v := 10.0, 2.0
+			submission.CheckpointInterval, submission.CheckpointDuration = &m, &v
+		}))
+		cluster.At(20, func() { machine.AnnounceEviction(8 * time.Second) })
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
 }
 
 // A gang that loses a machine starts again as a whole, under a new attempt.
 func TestGangLosesMachine(t *testing.T) {
-	s := playTraced(t, "gang-loses-machine", 10, 150, func(s *Cluster) {
-		w := addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 30, nil))
-		s.At(16, func() {
-			for _, x := range w {
-				if on := s.MachinesRunning("wk-1"); len(on) > 0 && x.ID() == on[0] {
-					x.Die()
+	cluster := playTraced(t, "gang-loses-machine", 10, 150, func(cluster *Cluster) {
+		machines := addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 30, nil))
+		cluster.At(16, func() {
+			for _, machine := range machines {
+				if on := cluster.MachinesRunning("wk-1"); len(on) > 0 && machine.ID() == on[0] {
+					machine.Die()
 				}
 			}
 		})
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
 }
 
 // A higher rank makes room by stopping best effort work.
 func TestPreemption(t *testing.T) {
-	s := playTraced(t, "preemption", 11, 120, func(s *Cluster) {
-		addMachines(s, 3, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 60, func(x *protocol.Submission) {
+	cluster := playTraced(t, "preemption", 11, 120, func(cluster *Cluster) {
+		addMachines(cluster, 3, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 60, func(submission *protocol.Submission) {
 			m, v := 5.0, 1.0
-			x.CheckpointInterval, x.CheckpointDuration, x.Priority = &m, &v, stringPointer("best_effort")
+			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
 		}))
-		s.Submit(15, NewSubmission("wk-2", protocol.ShapeGang, 1, 4, 10, func(x *protocol.Submission) { x.Priority = stringPointer("high") }))
+		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeGang, 1, 4, 10, func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }))
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-2")
+	expectStatus(t, cluster, protocol.JobDone, "wk-2")
 }
 
 // A guest fills all machines with long tasks that save; an array of a higher rank has
@@ -300,33 +303,33 @@
 // free soon, so nothing was stopped until the array was late, and then one task at a
 // time.
 func TestPreemptionForArrayDeadline(t *testing.T) {
-	s := playTraced(t, "room-for-an-array", 18, 120, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 300, func(x *protocol.Submission) {
+	cluster := playTraced(t, "room-for-an-array", 18, 120, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 300, func(submission *protocol.Submission) {
 			m, v := 10.0, 1.0
-			x.CheckpointInterval, x.CheckpointDuration, x.Priority = &m, &v, stringPointer("best_effort")
+			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
 		}))
-		s.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 36, 1, 12, func(x *protocol.Submission) { due := 60.0; x.Deadline = &due }))
+		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 36, 1, 12, func(submission *protocol.Submission) { due := 60.0; submission.Deadline = &due }))
 	})
-	if at := s.endReportedAt["wk-2"].Seconds(); at == 0 || at > 20+60+3 {
+	if at := cluster.endReportedAt["wk-2"].Seconds(); at == 0 || at > 20+60+3 {
 		t.Errorf("the array's user was told its end at %.1f s, want by 80 s and a poll", at)
 	}
-	if n := len(s.MachinesRunning("wk-1")); n == 0 {
+	if n := len(cluster.MachinesRunning("wk-1")); n == 0 {
 		t.Error("the guest has nothing left though the array is over")
 	}
 }
 
 // A faulty machine is set aside after jobs failed there that run elsewhere.
 func TestFaultyMachine(t *testing.T) {
-	s := playTraced(t, "faulty-machine", 12, 120, func(s *Cluster) {
-		w := addMachines(s, 4, 0)
-		w[0].Faulty = true
+	cluster := playTraced(t, "faulty-machine", 12, 120, func(cluster *Cluster) {
+		machines := addMachines(cluster, 4, 0)
+		machines[0].Faulty = true
 		for i, id := range []string{"wk-1", "wk-2", "wk-3"} {
-			s.Submit(5+float64(i), NewSubmission(id, protocol.ShapeArray, 8, 1, 8, nil))
+			cluster.Submit(5+float64(i), NewSubmission(id, protocol.ShapeArray, 8, 1, 8, nil))
 		}
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2", "wk-3")
-	if !strings.Contains(s.TraceText(), "deleted i-001") {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-3")
+	if !strings.Contains(cluster.TraceText(), "deleted i-001") {
 		t.Error("the faulty machine is still there")
 	}
 }
@@ -336,25 +339,25 @@
 // and what else there is runs as if they were not there. Found on an operations day,
 // on which mistaken jobs had five healthy machines returned.
 func TestFailingJobsDoNotCondemnMachines(t *testing.T) {
-	s := playTraced(t, "mistaken-jobs", 19, 150, func(s *Cluster) {
-		w := addMachines(s, 8, 0)
-		w[2].Faulty = true
-		s.FailingJobs = map[string]bool{"wk-1": true, "wk-2": true}
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20, nil))
-		s.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 20, nil))
+	cluster := playTraced(t, "mistaken-jobs", 19, 150, func(cluster *Cluster) {
+		machines := addMachines(cluster, 8, 0)
+		machines[2].Faulty = true
+		cluster.FailingJobs = map[string]bool{"wk-1": true, "wk-2": true}
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20, nil))
+		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 20, nil))
 		for i, id := range []string{"wk-3", "wk-4", "wk-5", "wk-6"} {
-			s.Submit(7+6*float64(i), NewSubmission(id, protocol.ShapeArray, 16, 1, 8, nil))
+			cluster.Submit(7+6*float64(i), NewSubmission(id, protocol.ShapeArray, 16, 1, 8, nil))
 		}
-		s.crashFor(30, 33, "n0", "n1", "n2") // the next owners know what the first had seen
-		s.Cancel(90, "wk-1")
-		s.Cancel(90, "wk-2")
+		cluster.crashFor(30, 33, "n0", "n1", "n2") // the next owners know what the first had seen
+		cluster.Cancel(90, "wk-1")
+		cluster.Cancel(90, "wk-2")
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-3", "wk-4", "wk-5", "wk-6")
-	expectStatus(t, s, protocol.JobCancelled, "wk-1", "wk-2")
-	if n := strings.Count(s.TraceText(), "deleted i-003"); n != 1 {
+	expectStatus(t, cluster, protocol.JobDone, "wk-3", "wk-4", "wk-5", "wk-6")
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-1", "wk-2")
+	if n := strings.Count(cluster.TraceText(), "deleted i-003"); n != 1 {
 		t.Errorf("the sick machine was deleted %d times, want once", n)
 	}
-	if n := len(s.FailedStarts); n > 70 {
+	if n := len(cluster.FailedStarts); n > 70 {
 		t.Errorf("%d starts failed of 52 tasks of mistaken jobs in 85 s", n)
 	}
 }
@@ -362,56 +365,56 @@
 // A gang larger than any part: machines are lent to its part, and it starts
 // as a whole though small work keeps all parts busy.
 func TestGangAcrossShards(t *testing.T) {
-	s := playTraced(t, "gang-across-parts", 14, 120, func(s *Cluster) {
-		addMachines(s, 6, 0)
+	cluster := playTraced(t, "gang-across-parts", 14, 120, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
-			s.Submit(4+6*float64(i), NewSubmission(id, protocol.ShapeArray, 12, 1, 14, nil))
+			cluster.Submit(4+6*float64(i), NewSubmission(id, protocol.ShapeArray, 12, 1, 14, nil))
 		}
-		s.Submit(12, NewSubmission("wk-7", protocol.ShapeGang, 5, 4, 10, nil))
+		cluster.Submit(12, NewSubmission("wk-7", protocol.ShapeGang, 5, 4, 10, nil))
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-7", "wk-1", "wk-6")
+	expectStatus(t, cluster, protocol.JobDone, "wk-7", "wk-1", "wk-6")
 }
 
 // Two zones cannot reach each other. The parts are owned in the zone of their
 // machines, which goes on working; what the other zone accepts runs as well.
 func TestZonesPartitioned(t *testing.T) {
-	s := playTraced(t, "zone-cut", 15, 90, func(s *Cluster) {
-		var ws []*Machine
+	cluster := playTraced(t, "zone-cut", 15, 90, func(cluster *Cluster) {
+		var machines []*Machine
 		for i := 0; i < 9; i++ {
-			ws = append(ws, s.AddMachine("small", "b", false))
+			machines = append(machines, cluster.AddMachine("small", "b", false))
 		}
 		pairs := [][2]string{{"n1", "n0"}, {"n1", "n2"}}
-		for _, w := range ws {
-			for _, n := range []string{"n0", "n2"} {
-				pairs = append(pairs, [2]string{w.Address(), n}, [2]string{w.Address(), "api-" + n})
+		for _, machine := range machines {
+			for _, name := range []string{"n0", "n2"} {
+				pairs = append(pairs, [2]string{machine.Address(), name}, [2]string{machine.Address(), "api-" + name})
 			}
 		}
-		s.Submit(6, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40, nil))
-		s.Submit(30, NewSubmission("wk-2", protocol.ShapeArray, 4, 1, 5, nil))
-		s.cutLinksFor(20, 50, pairs)
+		cluster.Submit(6, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40, nil))
+		cluster.Submit(30, NewSubmission("wk-2", protocol.ShapeArray, 4, 1, 5, nil))
+		cluster.cutLinksFor(20, 50, pairs)
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2")
-	if strings.Contains(s.TraceText(), "lease over") {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
+	if strings.Contains(cluster.TraceText(), "lease over") {
 		t.Error("workers of the zone that was cut off lost their leases")
 	}
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 24 {
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
 		t.Errorf("%d starts of 24 tasks", n)
 	}
 }
 
 // All controllers are restarted one after the other; nothing is lost.
 func TestRollingRestart(t *testing.T) {
-	s := playTraced(t, "rolling-restart", 16, 90, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		s.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
-		for i, n := range []string{"n0", "n1", "n2"} {
-			s.At(10+8*float64(i), func() { s.Controllers[n].Crash() })
-			s.At(13+8*float64(i), func() { s.Controllers[n].Start() })
+	cluster := playTraced(t, "rolling-restart", 16, 90, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		for i, name := range []string{"n0", "n1", "n2"} {
+			cluster.At(10+8*float64(i), func() { cluster.Controllers[name].Crash() })
+			cluster.At(13+8*float64(i), func() { cluster.Controllers[name].Start() })
 		}
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2")
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 24 {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
 		t.Errorf("%d starts of 24 tasks: a restart cost work", n)
 	}
 }
@@ -419,41 +422,41 @@
 // A team gets its guarantee though another's work of higher rank fills all
 // machines; its limit of GPUs holds for all its jobs together.
 func TestQuotaGuaranteeAndGPULimit(t *testing.T) {
-	s := playTraced(t, "guarantee", 17, 120, func(s *Cluster) {
-		s.AddMachine("big", "a", false)
-		green := func(x *protocol.Submission) {
+	cluster := playTraced(t, "guarantee", 17, 120, func(cluster *Cluster) {
+		cluster.AddMachine("big", "a", false)
+		green := func(submission *protocol.Submission) {
 			four := 2.0
-			x.Team, x.GPUs = stringPointer("green"), &four
+			submission.Team, submission.GPUs = stringPointer("green"), &four
 		}
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 60, func(x *protocol.Submission) { x.Priority = stringPointer("high") }))
-		s.Submit(15, NewSubmission("wk-2", protocol.ShapeArray, 2, 2, 10, green))
-		s.Submit(16, NewSubmission("wk-3", protocol.ShapeArray, 2, 2, 10, green))
-		s.Submit(17, NewSubmission("wk-4", protocol.ShapeGang, 3, 2, 10, green)) // six GPUs: more than the limit
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 60, func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }))
+		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeArray, 2, 2, 10, green))
+		cluster.Submit(16, NewSubmission("wk-3", protocol.ShapeArray, 2, 2, 10, green))
+		cluster.Submit(17, NewSubmission("wk-4", protocol.ShapeGang, 3, 2, 10, green)) // six GPUs: more than the limit
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-2", "wk-3")
-	expectStatus(t, s, "", "wk-4")
+	expectStatus(t, cluster, protocol.JobDone, "wk-2", "wk-3")
+	expectStatus(t, cluster, "", "wk-4")
 }
 
 // After a restart of all controllers a mistaken job is tried where its tries had been,
 // not at once in each part as if for the first time.
 func TestFailingJobBackoffSurvivesRestart(t *testing.T) {
-	s := NewCluster(24)
-	s.ServeAPI()
-	addMachines(s, 6, 0)
-	s.FailingJobs = map[string]bool{"wk-1": true}
-	s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20, nil))
-	s.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 60, nil))
-	s.crashFor(40, 42, s.controllerNames...)
+	cluster := NewCluster(24)
+	cluster.ServeAPI()
+	addMachines(cluster, 6, 0)
+	cluster.FailingJobs = map[string]bool{"wk-1": true}
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20, nil))
+	cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 60, nil))
+	cluster.crashFor(40, 42, cluster.controllerNames...)
 	before, after := 0, 0
-	s.At(42, func() { before = len(s.FailedStarts) })
-	s.At(48, func() { after = len(s.FailedStarts) })
-	s.Start()
-	s.Run(150)
+	cluster.At(42, func() { before = len(cluster.FailedStarts) })
+	cluster.At(48, func() { after = len(cluster.FailedStarts) })
+	cluster.Start()
+	cluster.Run(150)
 	if before == 0 || after != before {
 		t.Errorf("%d failed starts before the restart, %d more soon after it, want none", before, after-before)
 	}
-	if n := len(s.FailedStarts); n == after {
+	if n := len(cluster.FailedStarts); n == after {
 		t.Error("it is tried no more")
 	}
-	expectStatus(t, s, protocol.JobDone, "wk-2")
+	expectStatus(t, cluster, protocol.JobDone, "wk-2")
 }
--- a/internal/simulator/freeze_test.go
+++ b/internal/simulator/freeze_test.go
@@ -18,9 +18,9 @@
 
 // leaderProcess is the controller that leads, as the first that is up sees it; n0 if none does.
 func (c *Cluster) leaderProcess() *ControllerProcess {
-	for _, n := range c.runningControllers() {
-		if h := c.Controllers[c.Controllers[n].Controller.DebugState().Leader]; h != nil {
-			return h
+	for _, name := range c.runningControllers() {
+		if process := c.Controllers[c.Controllers[name].Controller.DebugState().Leader]; process != nil {
+			return process
 		}
 	}
 	return c.Controllers["n0"]
@@ -28,9 +28,9 @@
 
 // nonLeaderOwner is a controller that owns a part and does not lead.
 func (c *Cluster) nonLeaderOwner() *ControllerProcess {
-	for _, n := range c.runningControllers() {
-		if h := c.Controllers[n]; h != c.leaderProcess() && len(h.Controller.DebugState().Shards) > 0 {
-			return h
+	for _, name := range c.runningControllers() {
+		if process := c.Controllers[name]; process != c.leaderProcess() && len(process.Controller.DebugState().Shards) > 0 {
+			return process
 		}
 	}
 	return c.leaderProcess()
@@ -38,14 +38,14 @@
 
 // A short stop costs nothing: no part changes hands, no task starts again.
 func TestBriefControllerPause(t *testing.T) {
-	s := playTraced(t, "frozen-moment", 31, 90, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		s.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
-		s.At(12, func() { s.leaderProcess().Pause(3*time.Second, true) })
+	cluster := playTraced(t, "frozen-moment", 31, 90, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.At(12, func() { cluster.leaderProcess().Pause(3*time.Second, true) })
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2")
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 24 {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
 		t.Errorf("%d starts of 24 tasks", n)
 	}
 }
@@ -55,18 +55,18 @@
 // comes too late when it wakes.
 func TestControllerPausedPastItsLease(t *testing.T) {
 	for name, who := range map[string]func(*Cluster) *ControllerProcess{"frozen-leader": (*Cluster).leaderProcess, "frozen-owner": (*Cluster).nonLeaderOwner} {
-		s := playTraced(t, name, 32, 120, func(s *Cluster) {
-			addMachines(s, 6, 0)
-			s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40, nil))
-			s.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
-			s.Cancel(20, "wk-2")
-			s.At(12, func() { who(s).Pause(25*time.Second, true) })
+		cluster := playTraced(t, name, 32, 120, func(cluster *Cluster) {
+			addMachines(cluster, 6, 0)
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40, nil))
+			cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+			cluster.Cancel(20, "wk-2")
+			cluster.At(12, func() { who(cluster).Pause(25*time.Second, true) })
 		})
-		expectStatus(t, s, protocol.JobDone, "wk-1")
-		if strings.Contains(s.TraceText(), "lease over") {
+		expectStatus(t, cluster, protocol.JobDone, "wk-1")
+		if strings.Contains(cluster.TraceText(), "lease over") {
 			t.Errorf("%s: workers lost their leases", name)
 		}
-		if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 24 {
+		if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
 			t.Errorf("%s: %d starts of 24 tasks", name, n)
 		}
 	}
@@ -74,32 +74,32 @@
 
 // It wakes into an outage of the state service that began while it stood still.
 func TestControllerResumesDuringStateOutage(t *testing.T) {
-	s := playTraced(t, "frozen-into-outage", 33, 150, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		s.At(12, func() { s.leaderProcess().Pause(9*time.Second, false) })
-		s.At(18, func() { s.State.StartOutage(10 * time.Second) })
-		s.Submit(19, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
-		s.Cancel(20, "wk-1")
+	cluster := playTraced(t, "frozen-into-outage", 33, 150, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+		cluster.At(12, func() { cluster.leaderProcess().Pause(9*time.Second, false) })
+		cluster.At(18, func() { cluster.State.StartOutage(10 * time.Second) })
+		cluster.Submit(19, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.Cancel(20, "wk-1")
 	})
-	expectStatus(t, s, protocol.JobCancelled, "wk-1")
-	expectStatus(t, s, protocol.JobDone, "wk-2")
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-1")
+	expectStatus(t, cluster, protocol.JobDone, "wk-2")
 }
 
 // All stand still at once, with a rush on its way.
 func TestAllControllersPaused(t *testing.T) {
-	s := playTraced(t, "frozen-all", 34, 120, func(s *Cluster) {
-		addMachines(s, 6, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		for _, n := range s.controllerNames {
-			s.At(12, func() { s.Controllers[n].Pause(7*time.Second, n != "n1") })
+	cluster := playTraced(t, "frozen-all", 34, 120, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+		for _, name := range cluster.controllerNames {
+			cluster.At(12, func() { cluster.Controllers[name].Pause(7*time.Second, name != "n1") })
 		}
 		for i := 2; i < 8; i++ {
-			s.Submit(12+float64(i)/4, NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 5, nil))
+			cluster.Submit(12+float64(i)/4, NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 5, nil))
 		}
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2", "wk-7")
-	if strings.Contains(s.TraceText(), "lease over") {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-7")
+	if strings.Contains(cluster.TraceText(), "lease over") {
 		t.Error("workers lost their leases")
 	}
 }
@@ -119,69 +119,69 @@
 			holds, leads, outage := variant&1 > 0, variant&2 > 0, variant&4 > 0
 			// Less than others wait; less than its grant, which others need not
 			// wait for; more than both.
-			d := []time.Duration{4 * time.Second, 11 * time.Second, 22 * time.Second}[variant/8]
+			duration := []time.Duration{4 * time.Second, 11 * time.Second, 22 * time.Second}[variant/8]
 			if step.part == "/rentals" && !leads {
 				continue // others rent nothing
 			}
-			name := fmt.Sprintf("%s, for %v, held %v, leader %v, outage %v", step.name, d, holds, leads, outage)
-			s := NewCluster(uint64(100 + 24*i + variant))
-			s.ServeAPI()
-			w := addMachines(s, 5, 0)
-			s.Cloud.Capacity["small/a/false"] = 3
-			s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 20, 1, 20, nil))
-			s.Submit(8.5, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 10, nil))
-			s.Submit(9, NewSubmission("wk-3", protocol.ShapeArray, 30, 1, 8, nil))
-			s.Submit(9.5, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 8, nil))
-			s.Cancel(12, "wk-4")
+			name := fmt.Sprintf("%s, for %v, held %v, leader %v, outage %v", step.name, duration, holds, leads, outage)
+			cluster := NewCluster(uint64(100 + 24*i + variant))
+			cluster.ServeAPI()
+			machines := addMachines(cluster, 5, 0)
+			cluster.Cloud.Capacity["small/a/false"] = 3
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 20, 1, 20, nil))
+			cluster.Submit(8.5, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 10, nil))
+			cluster.Submit(9, NewSubmission("wk-3", protocol.ShapeArray, 30, 1, 8, nil))
+			cluster.Submit(9.5, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 8, nil))
+			cluster.Cancel(12, "wk-4")
 			var who *ControllerProcess
 			done := false
 			freeze := func() {
 				done = true
-				who.Pause(d, holds)
+				who.Pause(duration, holds)
 				if outage {
-					s.after(d-2*time.Second, func() { s.State.StartOutage(6 * time.Second) })
+					cluster.after(duration-2*time.Second, func() { cluster.State.StartOutage(6 * time.Second) })
 				}
 			}
-			s.At(9, func() {
-				who = s.nonLeaderOwner()
+			cluster.At(9, func() {
+				who = cluster.nonLeaderOwner()
 				if leads {
-					who = s.leaderProcess()
+					who = cluster.leaderProcess()
 				}
 				// One machine reaches only this controller, which could thus go
 				// on answering it when others have taken its part; and the cloud
 				// deletes nothing, so that leases alone prove what is gone.
-				for _, n := range s.controllerNames {
+				for _, name := range cluster.controllerNames {
 					if step.part != "/rentals" {
-						s.CutLink(n, "cloud")
+						cluster.CutLink(name, "cloud")
 					}
-					if n != who.name {
-						s.CutLink(w[0].Address(), n)
-						s.CutLink(w[0].Address(), s.apiAddress(n))
+					if name != who.name {
+						cluster.CutLink(machines[0].Address(), name)
+						cluster.CutLink(machines[0].Address(), cluster.apiAddress(name))
 					}
 				}
 				if step.part == "" { // whatever it answers at that moment
-					s.after(time.Duration(variant)*37*time.Millisecond, freeze)
+					cluster.after(time.Duration(variant)*37*time.Millisecond, freeze)
 				}
 			})
-			s.OnRequest = func(from, _, path string) {
-				if who != nil && !done && step.part != "" && from == s.address(who.name) && strings.Contains(path, step.part) {
+			cluster.OnRequest = func(from, _, path string) {
+				if who != nil && !done && step.part != "" && from == cluster.address(who.name) && strings.Contains(path, step.part) {
 					freeze()
 				}
 			}
-			s.Start()
-			s.Run(150)
-			for _, b := range s.Violations {
-				t.Errorf("%s: rule broken: %s", name, b)
+			cluster.Start()
+			cluster.Run(150)
+			for _, violation := range cluster.Violations {
+				t.Errorf("%s: rule broken: %s", name, violation)
 			}
 			if !done {
 				t.Errorf("%s: the step never came", name)
 			}
 			for _, id := range []string{"wk-1", "wk-2", "wk-3"} {
-				if got := s.ReportedStatus(id); got != protocol.JobDone {
+				if got := cluster.ReportedStatus(id); got != protocol.JobDone {
 					t.Errorf("%s: %s is %q", name, id, got)
 				}
 			}
-			if got := s.ReportedStatus("wk-4"); got != protocol.JobCancelled && got != protocol.JobDone {
+			if got := cluster.ReportedStatus("wk-4"); got != protocol.JobCancelled && got != protocol.JobDone {
 				t.Errorf("%s: wk-4 is %q, was to be cancelled", name, got)
 			}
 		}
@@ -192,20 +192,20 @@
 // its parts up because others hear its machines, and none of them loses its
 // lease.
 func TestOwnerPartitionedFromMachines(t *testing.T) {
-	s := playTraced(t, "deaf-owner", 35, 150, func(s *Cluster) {
-		w := addMachines(s, 9, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 60, nil))
+	cluster := playTraced(t, "deaf-owner", 35, 150, func(cluster *Cluster) {
+		machines := addMachines(cluster, 9, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 60, nil))
 		var pairs [][2]string
-		for _, x := range w {
-			pairs = append(pairs, [2]string{x.Address(), "n1"}, [2]string{x.Address(), "api-n1"})
+		for _, machine := range machines {
+			pairs = append(pairs, [2]string{machine.Address(), "n1"}, [2]string{machine.Address(), "api-n1"})
 		}
-		s.cutLinksFor(14, 60, pairs)
+		cluster.cutLinksFor(14, 60, pairs)
 	})
-	expectStatus(t, s, protocol.JobDone, "wk-1")
-	if strings.Contains(s.TraceText(), "lease over") {
+	expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	if strings.Contains(cluster.TraceText(), "lease over") {
 		t.Error("workers lost their leases")
 	}
-	if n := strings.Count(s.TraceText(), "starts wk-1/"); n != 36 {
+	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 36 {
 		t.Errorf("%d starts of 36 tasks", n)
 	}
 }
@@ -214,31 +214,31 @@
 // send users elsewhere; one that the service refuses alone does.
 func TestHealthCheckDuringStateOutage(t *testing.T) {
 	for _, alone := range []bool{false, true} {
-		s := NewCluster(36)
-		s.ServeAPI()
-		addMachines(s, 6, 0)
+		cluster := NewCluster(36)
+		cluster.ServeAPI()
+		addMachines(cluster, 6, 0)
 		for i := 0; i < 20; i++ {
-			s.Submit(5+float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 20, nil))
+			cluster.Submit(5+float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 20, nil))
 		}
-		s.At(12, func() {
+		cluster.At(12, func() {
 			if alone {
-				s.SetRefusal("n1", "state", true)
+				cluster.SetRefusal("n1", "state", true)
 			} else {
-				s.State.StartOutage(8 * time.Second)
+				cluster.State.StartOutage(8 * time.Second)
 			}
 		})
 		down := map[string]int{}
 		for at := 12.0; at < 20; at += 0.25 {
-			s.At(at, func() {
-				for _, n := range s.controllerNames {
-					if !s.Controllers[n].Controller.IsHealthy() {
-						down[n]++
+			cluster.At(at, func() {
+				for _, name := range cluster.controllerNames {
+					if !cluster.Controllers[name].Controller.IsHealthy() {
+						down[name]++
 					}
 				}
 			})
 		}
-		s.Start()
-		s.Run(20)
+		cluster.Start()
+		cluster.Run(20)
 		if alone && (down["n1"] < 24 || down["n0"]+down["n2"] > 0) {
 			t.Errorf("refused alone: not up, in quarters of a second: %v, want only n1, nearly always", down)
 		}
@@ -254,24 +254,24 @@
 // for that grant before it counts the machines' leases.
 func TestNewOwnerFailsWhileOldOwnerAnswers(t *testing.T) {
 	for after := 6.0; after <= 14; after++ {
-		s := NewCluster(40 + uint64(after))
-		s.ServeAPI()
-		addMachines(s, 12, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70, nil))
-		s.At(12, func() {
-			heal := s.PartitionZone("b") // n1 is there
-			s.At(52, heal)
+		cluster := NewCluster(40 + uint64(after))
+		cluster.ServeAPI()
+		addMachines(cluster, 12, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70, nil))
+		cluster.At(12, func() {
+			heal := cluster.PartitionZone("b") // n1 is there
+			cluster.At(52, heal)
 		})
-		for _, n := range []string{"n0", "n2"} {
-			s.At(12+after, func() { s.Controllers[n].Crash() })
-			s.At(14+after, func() { s.Controllers[n].Start() })
+		for _, name := range []string{"n0", "n2"} {
+			cluster.At(12+after, func() { cluster.Controllers[name].Crash() })
+			cluster.At(14+after, func() { cluster.Controllers[name].Start() })
 		}
-		s.Start()
-		s.Run(200)
-		for _, b := range s.Violations {
-			t.Errorf("back %v s after the cut: rule broken: %s", after+2, b)
+		cluster.Start()
+		cluster.Run(200)
+		for _, violation := range cluster.Violations {
+			t.Errorf("back %v s after the cut: rule broken: %s", after+2, violation)
 		}
-		expectStatus(t, s, protocol.JobDone, "wk-1")
+		expectStatus(t, cluster, protocol.JobDone, "wk-1")
 	}
 }
 
@@ -281,23 +281,23 @@
 func TestNewOwnerFailsWithClockSkew(t *testing.T) {
 	for after := 5.0; after <= 14; after += 1.5 {
 		for _, off := range []float64{-2.5, 2.5} {
-			s := NewCluster(1400 + uint64(2*after))
-			s.ServeAPI()
-			addMachines(s, 12, 0)
-			for i, n := range s.controllerNames {
-				s.Controllers[n].settings.Deployment.SkewMs = 2500
-				s.Controllers[n].ClockOffset = []float64{off, 0, -off}[i]
+			cluster := NewCluster(1400 + uint64(2*after))
+			cluster.ServeAPI()
+			addMachines(cluster, 12, 0)
+			for i, name := range cluster.controllerNames {
+				cluster.Controllers[name].settings.Deployment.SkewMs = 2500
+				cluster.Controllers[name].ClockOffset = []float64{off, 0, -off}[i]
 			}
-			s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70, nil))
-			s.At(12, func() { s.At(52, s.PartitionZone("b")) }) // n1 is there
-			s.crashFor(12+after, 60, "n0")
-			s.restartQuickly(13+after, 2.5, func() *ControllerProcess { return s.Controllers["n2"] })
-			s.Start()
-			s.Run(220)
-			for _, b := range s.Violations {
-				t.Errorf("n0 ends %v s after the cut, %v s ahead: rule broken: %s", after, off, b)
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70, nil))
+			cluster.At(12, func() { cluster.At(52, cluster.PartitionZone("b")) }) // n1 is there
+			cluster.crashFor(12+after, 60, "n0")
+			cluster.restartQuickly(13+after, 2.5, func() *ControllerProcess { return cluster.Controllers["n2"] })
+			cluster.Start()
+			cluster.Run(220)
+			for _, violation := range cluster.Violations {
+				t.Errorf("n0 ends %v s after the cut, %v s ahead: rule broken: %s", after, off, violation)
 			}
-			expectStatus(t, s, protocol.JobDone, "wk-1")
+			expectStatus(t, cluster, protocol.JobDone, "wk-1")
 		}
 	}
 }
@@ -307,27 +307,27 @@
 // itself that it still is not answered, and take its part within lease_s/4 of the
 // outage's end rather than after as long as one that is not heard.
 func TestRefusedControllerThroughStateOutage(t *testing.T) {
-	s := NewCluster(37)
-	s.ServeAPI()
-	addMachines(s, 6, 0)
-	s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-	s.At(11, func() { s.SetRefusal("n1", "state", true) })
-	s.At(14, func() { s.State.StartOutage(8 * time.Second) })
-	s.At(60, func() { s.SetRefusal("n1", "state", false) })
-	s.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+	cluster := NewCluster(37)
+	cluster.ServeAPI()
+	addMachines(cluster, 6, 0)
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+	cluster.At(11, func() { cluster.SetRefusal("n1", "state", true) })
+	cluster.At(14, func() { cluster.State.StartOutage(8 * time.Second) })
+	cluster.At(60, func() { cluster.SetRefusal("n1", "state", false) })
+	cluster.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
 	owned := 0
-	s.At(22+14.0/4, func() {
-		for _, n := range []string{"n0", "n2"} {
-			owned += len(s.Controllers[n].Controller.DebugState().Shards)
+	cluster.At(22+14.0/4, func() {
+		for _, name := range []string{"n0", "n2"} {
+			owned += len(cluster.Controllers[name].Controller.DebugState().Shards)
 		}
 	})
-	s.Start()
-	s.Run(120)
-	for _, b := range s.Violations {
-		t.Errorf("rule broken: %s", b)
+	cluster.Start()
+	cluster.Run(120)
+	for _, violation := range cluster.Violations {
+		t.Errorf("rule broken: %s", violation)
 	}
 	if owned != 3 {
 		t.Errorf("a quarter of a lease after the outage the others own %d of 3 parts", owned)
 	}
-	expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2")
+	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
 }
--- a/internal/simulator/helpers_test.go
+++ b/internal/simulator/helpers_test.go
@@ -16,11 +16,11 @@
 // newMonitoredCluster is a deployment whose users see whether jobs wait beside room, once all troubles are
 // over, in seconds.
 func newMonitoredCluster(seed uint64, calm float64) *Cluster {
-	s := NewCluster(seed)
-	s.ServeAPI()
-	s.histories.FaultsOver = time.Duration(calm * float64(time.Second))
-	s.monitorWaitingJobs()
-	return s
+	cluster := NewCluster(seed)
+	cluster.ServeAPI()
+	cluster.histories.FaultsOver = time.Duration(calm * float64(time.Second))
+	cluster.monitorWaitingJobs()
+	return cluster
 }
 
 // delayRequestsFor has a share of the requests to a path get no answer for a time, and be carried
@@ -49,47 +49,47 @@
 	c.At(to, func() { c.DuplicateRequest = nil })
 }
 
-func leaderOnly(s *Cluster) []string { return []string{s.leaderProcess().name} }
+func leaderOnly(cluster *Cluster) []string { return []string{cluster.leaderProcess().name} }
 
-func largestOwnerOnly(s *Cluster) []string { return []string{s.largestOwner().name} }
+func largestOwnerOnly(cluster *Cluster) []string { return []string{cluster.largestOwner().name} }
 
-func leaderAndLargestOwner(s *Cluster) []string {
-	return []string{s.leaderProcess().name, s.largestOwner().name}
+func leaderAndLargestOwner(cluster *Cluster) []string {
+	return []string{cluster.leaderProcess().name, cluster.largestOwner().name}
 }
 
 // largestOwner is the owner of most machines but the leader.
 func (c *Cluster) largestOwner() *ControllerProcess {
 	best, most := c.leaderProcess(), -1
-	for _, n := range c.runningControllers() {
+	for _, name := range c.runningControllers() {
 		all := 0
-		for _, p := range c.Controllers[n].Controller.DebugState().Shards {
+		for _, p := range c.Controllers[name].Controller.DebugState().Shards {
 			all += p.Machines
 		}
-		if h := c.Controllers[n]; h != c.leaderProcess() && all > most {
-			best, most = h, all
+		if process := c.Controllers[name]; process != c.leaderProcess() && all > most {
+			best, most = process, all
 		}
 	}
 	return best
 }
 
 // partitionOutbound lets machines reach no controller for a time, while direct commands reach them.
-func (c *Cluster) partitionOutbound(from, to float64, w ...*Machine) {
+func (c *Cluster) partitionOutbound(from, to float64, machines ...*Machine) {
 	c.At(from, func() {
-		for _, x := range w {
-			c.Trace("%s reaches nobody", x.id)
+		for _, machine := range machines {
+			c.Trace("%s reaches nobody", machine.id)
 		}
 	})
 	c.DelayedRequests = append(c.DelayedRequests, func(by, path string, _ []byte) (time.Duration, bool) {
 		now := c.now.Seconds()
-		return time.Hour, now >= from && now < to && path == "/v1/report" && slices.ContainsFunc(w, func(x *Machine) bool { return x.address == by })
+		return time.Hour, now >= from && now < to && path == "/v1/report" && slices.ContainsFunc(machines, func(machine *Machine) bool { return machine.address == by })
 	})
 }
 
 // addLinkLatency has messages from and to machines take up to so many seconds each way.
 func (c *Cluster) addLinkLatency(from, to, most float64) {
 	c.At(from, func() {
-		c.ExtraLatency = func(a, b string) time.Duration {
-			if !strings.Contains(a+b, "w-i-") {
+		c.ExtraLatency = func(a, violation string) time.Duration {
+			if !strings.Contains(a+violation, "w-i-") {
 				return 0
 			}
 			return time.Duration(most * c.random.Float64() * float64(time.Second))
@@ -99,19 +99,19 @@
 }
 
 // killMachinesOf ends all machines that a controller answers.
-func (c *Cluster) killMachinesOf(h *ControllerProcess, w []*Machine) {
-	for _, x := range w {
-		if c.ownerOf(x) == h {
-			x.Die()
+func (c *Cluster) killMachinesOf(process *ControllerProcess, machines []*Machine) {
+	for _, machine := range machines {
+		if c.ownerOf(machine) == process {
+			machine.Die()
 		}
 	}
 }
 
 // repeatRequest has a user ask about a job, submit it once more, or cancel it, at one
 // controller. What it says must agree with all that was said before the question.
-func (c *Cluster) repeatRequest(node, what string, sub *protocol.Submission) {
-	id, out, asked, known := *sub.ID, &protocol.JobState{}, c.now, c.reportedStatus[*sub.ID] != ""
-	method, path, body := "POST", "/v2/runs", any(sub)
+func (c *Cluster) repeatRequest(node, what string, submission *protocol.Submission) {
+	id, out, asked, known := *submission.ID, &protocol.JobState{}, c.now, c.reportedStatus[*submission.ID] != ""
+	method, path, body := "POST", "/v2/runs", any(submission)
 	switch what {
 	case "ask":
 		method, path, body = "GET", "/v2/runs/"+id, nil
@@ -137,11 +137,11 @@
 
 // sendInvalidRequests has users repeat submissions of a job, also with other fields, and submit jobs
 // that lack a field or can never run.
-func (c *Cluster) sendInvalidRequests(from, to float64, sub *protocol.Submission) {
+func (c *Cluster) sendInvalidRequests(from, to float64, submission *protocol.Submission) {
 	n := 0
 	for at := from; at < to; at += 0.7 {
 		n++
-		other, none, never := *sub, *sub, *sub
+		other, none, never := *submission, *submission, *submission
 		other.Tasks, other.Estimate = nil, nil
 		none.ID, never.ID = stringPointer(fmt.Sprintf("wk-x%d", n)), stringPointer(fmt.Sprintf("wk-y%d", n))
 		lacks := []func(){func() { none.Image = nil }, func() { none.Cores = nil }, func() { none.SingleZone = nil }, func() { none.Priority = stringPointer("urgent") }, func() { none.Zone = stringPointer("") }}
@@ -156,12 +156,12 @@
 		hopeless[n%len(hopeless)]()
 		c.At(at, func() {
 			node := c.controllerNames[n%len(c.controllerNames)]
-			c.repeatRequest(node, "submit", sub)
+			c.repeatRequest(node, "submit", submission)
 			c.repeatRequest(node, "submit", &other)
-			refused := func(x *protocol.Submission, want int) {
-				c.request(c.address("user"), c.apiAddress(node), "POST", "/v2/runs", x, nil, 5*time.Second, func(status int) {
+			refused := func(submission *protocol.Submission, want int) {
+				c.request(c.address("user"), c.apiAddress(node), "POST", "/v2/runs", submission, nil, 5*time.Second, func(status int) {
 					if status != want && status != 503 && status != 429 && status != 0 {
-						c.reportViolation("accepted though it can't run: %s gets %d", *x.ID, status)
+						c.reportViolation("accepted though it can't run: %s gets %d", *submission.ID, status)
 					}
 				})
 			}
@@ -183,13 +183,13 @@
 
 // delayResponsesFor has the state service carry out requests at once and answer those for the path
 // up to so many seconds late.
-func (c *Cluster) delayResponsesFor(path string, r *rand.Rand, from, to, most float64) {
+func (c *Cluster) delayResponsesFor(path string, random *rand.Rand, from, to, most float64) {
 	c.At(from, func() {
 		c.State.ResponseDelay = func(p string) time.Duration {
 			if !strings.HasPrefix(p, path) {
 				return 0
 			}
-			return time.Duration((0.2 + (most-0.2)*r.Float64()) * float64(time.Second))
+			return time.Duration((0.2 + (most-0.2)*random.Float64()) * float64(time.Second))
 		}
 	})
 	c.At(to, func() { c.State.ResponseDelay = nil })
@@ -199,21 +199,21 @@
 // have, or has otherwise, and what their parts have of jobs that are over, when all has
 // been calm for long.
 func (c *Cluster) staleCaches() (wrong []string) {
-	for _, n := range c.runningControllers() {
-		l := c.Controllers[n].Controller.Store()
+	for _, name := range c.runningControllers() {
+		l := c.Controllers[name].Controller.Store()
 		mine := 0
-		for _, k := range c.State.keys("a/") {
+		for _, key := range c.State.keys("a/") {
 			mine++
-			if e, ok := l.Get(k); !ok || e.Revision != c.State.entries[k].Revision {
-				wrong = append(wrong, fmt.Sprintf("%s has not %s as it is", n, k))
+			if e, ok := l.Get(key); !ok || e.Revision != c.State.entries[key].Revision {
+				wrong = append(wrong, fmt.Sprintf("%s has not %s as it is", name, key))
 			}
 		}
 		if l.IsLoaded() && l.CachedKeys() > mine {
-			wrong = append(wrong, fmt.Sprintf("%s has %d keys, there are %d", n, l.CachedKeys(), mine))
+			wrong = append(wrong, fmt.Sprintf("%s has %d keys, there are %d", name, l.CachedKeys(), mine))
 		}
-		for _, p := range c.Controllers[n].Controller.DebugState().Shards {
+		for _, p := range c.Controllers[name].Controller.DebugState().Shards {
 			if p.Jobs > len(c.State.keys(shard.JobKey(""))) {
-				wrong = append(wrong, fmt.Sprintf("part %d of %s has %d jobs, there are %d", p.Shard, n, p.Jobs, len(c.State.keys(shard.JobKey("")))))
+				wrong = append(wrong, fmt.Sprintf("part %d of %s has %d jobs, there are %d", p.Shard, name, p.Jobs, len(c.State.keys(shard.JobKey("")))))
 			}
 		}
 	}
--- a/internal/simulator/job_end_test.go
+++ b/internal/simulator/job_end_test.go
@@ -25,26 +25,28 @@
 	ends := map[protocol.JobStatus]int{}
 	for i, kind := range kinds {
 		for k, slow := range []float64{0, 1.2} {
-			sub := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5, nil)
-			play := func(meet func(s *Cluster)) *Cluster {
-				s := NewCluster(uint64(830 + 10*i + k))
-				s.ServeAPI()
-				addMachines(s, 3, 0)
-				for _, n := range s.controllerNames {
+			submission := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5, nil)
+			play := func(meet func(cluster *Cluster)) *Cluster {
+				cluster := NewCluster(uint64(830 + 10*i + k))
+				cluster.ServeAPI()
+				addMachines(cluster, 3, 0)
+				for _, name := range cluster.controllerNames {
 					if kind.single {
-						s.Controllers[n].settings.Dispatch.Anywhere = 0
+						cluster.Controllers[name].settings.Dispatch.Anywhere = 0
 					}
 				}
-				s.Submit(5, sub)
+				cluster.Submit(5, submission)
 				if slow > 0 {
-					s.At(7, func() {
-						s.State.ResponseDelay = func(string) time.Duration { return time.Duration(slow * s.random.Float64() * float64(time.Second)) }
+					cluster.At(7, func() {
+						cluster.State.ResponseDelay = func(string) time.Duration {
+							return time.Duration(slow * cluster.random.Float64() * float64(time.Second))
+						}
 					})
 				}
-				meet(s)
-				s.Start()
-				s.Run(30)
-				return s
+				meet(cluster)
+				cluster.Start()
+				cluster.Run(30)
+				return cluster
 			}
 			end := 0.0 // when its last task ends, if nobody meddles
 			plain := play(func(*Cluster) {})
@@ -56,24 +58,27 @@
 			expectStatus(t, plain, protocol.JobDone, "wk-1")
 			for _, first := range []string{"cancel", "ask", "submit"} {
 				for d := -0.04 - slow; d < 0.1+slow; d += 0.01 + slow/12 {
-					s := play(func(s *Cluster) {
+					cluster := play(func(cluster *Cluster) {
 						for x, what := range []string{first, "ask", "cancel", "submit", "ask"} {
-							s.At(end+d+(0.003+slow/4)*float64(x), func() { s.repeatRequest(s.controllerNames[x%3], what, sub) })
+							cluster.At(end+d+(0.003+slow/4)*float64(x), func() { cluster.repeatRequest(cluster.controllerNames[x%3], what, submission) })
 						}
-						for x, n := range s.controllerNames {
-							s.At(end+12+float64(x), func() { s.repeatRequest(n, "submit", sub); s.repeatRequest(n, "ask", sub) })
+						for x, name := range cluster.controllerNames {
+							cluster.At(end+12+float64(x), func() {
+								cluster.repeatRequest(name, "submit", submission)
+								cluster.repeatRequest(name, "ask", submission)
+							})
 						}
 					})
-					for _, b := range s.Violations {
-						t.Errorf("%s, slow %v, %s %.3f s after the end: %s", kind.name, slow, first, d, b)
+					for _, violation := range cluster.Violations {
+						t.Errorf("%s, slow %v, %s %.3f s after the end: %s", kind.name, slow, first, d, violation)
 					}
-					if got := s.ReportedStatus("wk-1"); got != protocol.JobDone && got != protocol.JobCancelled {
+					if got := cluster.ReportedStatus("wk-1"); got != protocol.JobDone && got != protocol.JobCancelled {
 						t.Errorf("%s, slow %v, %s %.3f s after the end: it is %q", kind.name, slow, first, d, got)
 					}
-					if on := s.MachinesRunning("wk-1"); len(on) > 0 {
+					if on := cluster.MachinesRunning("wk-1"); len(on) > 0 {
 						t.Errorf("%s: still on %v", kind.name, on)
 					}
-					ends[s.ReportedStatus("wk-1")]++
+					ends[cluster.ReportedStatus("wk-1")]++
 				}
 			}
 		}
--- a/internal/simulator/judge.go
+++ b/internal/simulator/judge.go
@@ -54,15 +54,15 @@
 }
 
 func (h *JobHistories) recordSubmission(id string, now time.Duration) {
-	if p := h.job(id); p.submittedAt == 0 {
-		p.submittedAt = max(now, 1)
+	if history := h.job(id); history.submittedAt == 0 {
+		history.submittedAt = max(now, 1)
 	}
 }
 
 func (h *JobHistories) recordAnswer(id string, now time.Duration) {
-	p := h.job(id)
-	p.extendSilence(h.FaultsOver, now)
-	p.lastAnswerAt = now
+	history := h.job(id)
+	history.extendSilence(h.FaultsOver, now)
+	history.lastAnswerAt = now
 }
 
 func (p *jobHistory) extendSilence(calm, now time.Duration) {
@@ -72,23 +72,23 @@
 }
 
 func (h *JobHistories) recordStart(t agent.TaskID, now time.Duration) {
-	p := h.job(t.Job)
-	p.startedTasks[t.Index] = true
-	if p.fullyStartedAt == 0 && len(p.startedTasks) >= p.maxConcurrent {
-		p.fullyStartedAt = now
+	history := h.job(t.Job)
+	history.startedTasks[t.Index] = true
+	if history.fullyStartedAt == 0 && len(history.startedTasks) >= history.maxConcurrent {
+		history.fullyStartedAt = now
 	}
 }
 
 func (h *JobHistories) recordCompletion(t agent.TaskID) { h.job(t.Job).completedTasks[t.Index] = true }
 
 // maxConcurrentTasks is how many tasks of a job its team's limit allows at once.
-func maxConcurrentTasks(j *protocol.Job, t *settings.Team) int {
-	n := j.Tasks
-	if t != nil && t.CoresMax > 0 && j.Cores > 0 {
-		n = min(n, int(t.CoresMax/j.Cores+1e-9))
+func maxConcurrentTasks(job *protocol.Job, t *settings.Team) int {
+	n := job.Tasks
+	if t != nil && t.CoresMax > 0 && job.Cores > 0 {
+		n = min(n, int(t.CoresMax/job.Cores+1e-9))
 	}
-	if t != nil && t.GPUsMax > 0 && j.GPUs > 0 {
-		n = min(n, int(t.GPUsMax/j.GPUs+1e-9))
+	if t != nil && t.GPUsMax > 0 && job.GPUs > 0 {
+		n = min(n, int(t.GPUsMax/job.GPUs+1e-9))
 	}
 	return n
 }
@@ -99,8 +99,8 @@
 func (h *JobHistories) Violations(jobs map[string]*protocol.Job, now time.Duration) (wrong []string) {
 	type share struct{ served, all int }
 	shares, most := map[string]*share{}, map[string]int{}
-	for _, j := range jobs {
-		most[j.Class] = max(most[j.Class], j.Tasks)
+	for _, job := range jobs {
+		most[job.Class] = max(most[job.Class], job.Tasks)
 	}
 	count := func(what string, served bool) {
 		if shares[what] == nil {
@@ -112,30 +112,30 @@
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
-		j, p := jobs[id], h.job(id)
-		p.extendSilence(h.FaultsOver, now)
-		if p.longestWait > maxWaitDespiteCapacity {
-			wrong = append(wrong, fmt.Sprintf("left waiting: %s for %v beside room for it", id, p.longestWait.Round(time.Second)))
-		}
-		if p.longestSilence > maxSilence {
-			wrong = append(wrong, fmt.Sprintf("forgotten: %s for %v", id, p.longestSilence.Round(time.Second)))
-		}
-		served := len(p.completedTasks) == j.Tasks
-		count("class "+j.Class, served)
-		count("team "+j.Team, served)
-		if j.Tasks < most[j.Class] {
+		job, history := jobs[id], h.job(id)
+		history.extendSilence(h.FaultsOver, now)
+		if history.longestWait > maxWaitDespiteCapacity {
+			wrong = append(wrong, fmt.Sprintf("left waiting: %s for %v beside room for it", id, history.longestWait.Round(time.Second)))
+		}
+		if history.longestSilence > maxSilence {
+			wrong = append(wrong, fmt.Sprintf("forgotten: %s for %v", id, history.longestSilence.Round(time.Second)))
+		}
+		served := len(history.completedTasks) == job.Tasks
+		count("class "+job.Class, served)
+		count("team "+job.Team, served)
+		if job.Tasks < most[job.Class] {
 			continue
 		}
-		count("largest of class "+j.Class, served)
-		if len(j.Dependencies) > 0 {
+		count("largest of class "+job.Class, served)
+		if len(job.Dependencies) > 0 {
 			continue // they begin when others are done
 		}
-		begun := p.fullyStartedAt
+		begun := history.fullyStartedAt
 		if begun == 0 {
 			begun = now
 		}
-		if begun-p.submittedAt > maxStartDelay {
-			wrong = append(wrong, fmt.Sprintf("begins late: %s, %d of %d tasks after %v", id, len(p.startedTasks), j.Tasks, (begun-p.submittedAt).Round(time.Second)))
+		if begun-history.submittedAt > maxStartDelay {
+			wrong = append(wrong, fmt.Sprintf("begins late: %s, %d of %d tasks after %v", id, len(history.startedTasks), job.Tasks, (begun-history.submittedAt).Round(time.Second)))
 		}
 	}
 	for _, what := range slices.Sorted(maps.Keys(shares)) {
@@ -149,9 +149,9 @@
 // ServiceLevelViolations applies it to the day; all troubles must be over by Calm.
 func (c *Cluster) ServiceLevelViolations() []string {
 	jobs := map[string]*protocol.Job{}
-	for id, j := range c.jobs {
-		if c.reportedStatus[id] != "" && c.cancelledAt[id] == 0 && j.Shape != protocol.ShapeService && !c.hasCancelledDependency(id, 0) {
-			jobs[id] = j
+	for id, job := range c.jobs {
+		if c.reportedStatus[id] != "" && c.cancelledAt[id] == 0 && job.Shape != protocol.ShapeService && !c.hasCancelledDependency(id, 0) {
+			jobs[id] = job
 		}
 	}
 	return c.histories.Violations(jobs, c.now)
@@ -163,75 +163,75 @@
 	if c.now < c.histories.FaultsOver {
 		return
 	}
-	for id, j := range c.jobs {
-		p := c.histories.job(id)
+	for id, job := range c.jobs {
+		history := c.histories.job(id)
 		was := c.reportedStatus[id]
-		if was == "" || was == protocol.JobDone || was == protocol.JobCancelled || c.cancelledAt[id] > 0 || c.FailingJobs[id] || c.hasOpenDependencies(j) || !c.hasCapacityFor(j) {
-			p.waitingSince = 0
+		if was == "" || was == protocol.JobDone || was == protocol.JobCancelled || c.cancelledAt[id] > 0 || c.FailingJobs[id] || c.hasOpenDependencies(job) || !c.hasCapacityFor(job) {
+			history.waitingSince = 0
 			continue
 		}
-		if p.waitingSince == 0 {
-			p.waitingSince = c.now
+		if history.waitingSince == 0 {
+			history.waitingSince = c.now
 		}
-		p.longestWait = max(p.longestWait, c.now-p.waitingSince)
+		history.longestWait = max(history.longestWait, c.now-history.waitingSince)
 	}
 }
 
 // hasCapacityFor tells whether some of a job waits, of a gang all, though machines that fit
 // have room for one more task, for a gang's all, and its team is under its limit.
-func (c *Cluster) hasCapacityFor(j *protocol.Job) bool {
+func (c *Cluster) hasCapacityFor(job *protocol.Job) bool {
 	on, there, done := 0, map[string]int{}, 0
 	var cores, gpus float64
 	free := map[*Machine]*protocol.MachineType{}
 	for _, id := range c.machineIDs() {
-		w := c.Machines[id]
-		left := w.machineType
-		for _, t := range w.attempts {
-			o := c.jobByID(t.Job)
-			if t.state == protocol.TaskEnded || o == nil {
+		machine := c.Machines[id]
+		left := machine.machineType
+		for _, t := range machine.attempts {
+			other := c.jobByID(t.Job)
+			if t.state == protocol.TaskEnded || other == nil {
 				continue
 			}
-			left.Cores, left.GPUs, left.MemoryGB = left.Cores-o.Cores, left.GPUs-o.GPUs, left.MemoryGB-o.MemoryGB
-			if o.Team == j.Team {
-				cores, gpus = cores+o.Cores, gpus+o.GPUs
+			left.Cores, left.GPUs, left.MemoryGB = left.Cores-other.Cores, left.GPUs-other.GPUs, left.MemoryGB-other.MemoryGB
+			if other.Team == job.Team {
+				cores, gpus = cores+other.Cores, gpus+other.GPUs
 			}
-			if t.Job == j.ID {
+			if t.Job == job.ID {
 				on++
-				there[w.zone]++
+				there[machine.zone]++
 			}
 		}
-		if w.running && !w.deleted && !w.Hung && !w.Faulty && !w.evictionAnnounced && !c.inboundPartitioned[w.address] {
-			free[w] = &left
+		if machine.running && !machine.deleted && !machine.Hung && !machine.Faulty && !machine.evictionAnnounced && !c.inboundPartitioned[machine.address] {
+			free[machine] = &left
 		}
 	}
-	for i := range j.Tasks {
-		if c.completedTasks[agent.TaskID{Job: j.ID, Index: i}] {
+	for i := range job.Tasks {
+		if c.completedTasks[agent.TaskID{Job: job.ID, Index: i}] {
 			done++
 		}
 	}
 	need := 1.0
-	if j.Shape == protocol.ShapeGang {
-		need = float64(j.Tasks)
+	if job.Shape == protocol.ShapeGang {
+		need = float64(job.Tasks)
 		if on > 0 {
 			return false // it comes to be there, or goes
 		}
 	}
-	team := c.Settings.Team(j.Team)
-	if on+done >= j.Tasks || team.CoresMax > 0 && cores+need*j.Cores > team.CoresMax || team.GPUsMax > 0 && gpus+need*j.GPUs > team.GPUsMax {
+	team := c.Settings.Team(job.Team)
+	if on+done >= job.Tasks || team.CoresMax > 0 && cores+need*job.Cores > team.CoresMax || team.GPUsMax > 0 && gpus+need*job.GPUs > team.GPUsMax {
 		return false
 	}
 	zones := map[string]int{}
-	for w, left := range free {
+	for machine, left := range free {
 		n := 0
-		if shard.CanRunOn(j, &w.machineType, w.zone, w.spot) {
-			n = max(0, left.TasksThatFit(j, int(need)))
+		if shard.CanRunOn(job, &machine.machineType, machine.zone, machine.spot) {
+			n = max(0, left.TasksThatFit(job, int(need)))
 		}
 		switch {
-		case j.SingleZone && on > 0 && there[w.zone] == 0:
-		case j.SpreadZones && there[w.zone] >= shard.MaxPerZone(j):
+		case job.SingleZone && on > 0 && there[machine.zone] == 0:
+		case job.SpreadZones && there[machine.zone] >= shard.MaxPerZone(job):
 		default:
-			zones[w.zone] += n
+			zones[machine.zone] += n
 		}
 	}
-	return float64(shard.MaxPlaceable(j, zones)) >= need
+	return float64(shard.MaxPlaceable(job, zones)) >= need
 }
--- a/internal/simulator/kept_days_test.go
+++ b/internal/simulator/kept_days_test.go
@@ -17,125 +17,129 @@
 	runScenarios(t, "combined-", 756, 260, 70, nil, []scenario{
 		// Launches and halts reach their machine 5 s late, one of them after the session
 		// that they are for; answers of others are lost though they were carried out.
-		{"orders-held-up", func(s *Cluster, w []*Machine) []string {
-			s.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
-			s.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, "/orders")
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10, nil))
-			s.Submit(12, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 6, nil))
-			s.cutLinksFor(10, 27, s.machineLinks(w[0]))
+		{"orders-held-up", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
+			cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, "/orders")
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10, nil))
+			cluster.Submit(12, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 6, nil))
+			cluster.cutLinksFor(10, 27, cluster.machineLinks(machines[0]))
 			return []string{"wk-4", "wk-5"}
 		}, nil},
 		// A is refused until B has its part, B ends, A takes it back, all within seconds;
 		// then all end and one returns before the others.
-		{"there-and-back", func(s *Cluster, w []*Machine) []string {
-			a := s.controllerNames[1]
-			s.At(9, func() { s.SetRefusal(a, "state", true) })
-			s.At(14.6, func() { s.SetRefusal(a, "state", false) })
-			s.At(14.8, func() {
-				for _, n := range s.controllerNames {
-					if n != a {
-						s.Controllers[n].Crash()
-						s.after(700*time.Millisecond, s.Controllers[n].Start)
+		{"there-and-back", func(cluster *Cluster, machines []*Machine) []string {
+			a := cluster.controllerNames[1]
+			cluster.At(9, func() { cluster.SetRefusal(a, "state", true) })
+			cluster.At(14.6, func() { cluster.SetRefusal(a, "state", false) })
+			cluster.At(14.8, func() {
+				for _, name := range cluster.controllerNames {
+					if name != a {
+						cluster.Controllers[name].Crash()
+						cluster.after(700*time.Millisecond, cluster.Controllers[name].Start)
 					}
 				}
 			})
-			s.Submit(11, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10, nil))
-			s.crashFor(24, 24.3, "n2")
-			s.crashFor(24, 31, "n0", "n1")
+			cluster.Submit(11, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10, nil))
+			cluster.crashFor(24, 24.3, "n2")
+			cluster.crashFor(24, 31, "n0", "n1")
 			return []string{"wk-4"}
 		}, nil},
 		// The leader ends while machines with long tasks are out of reach, for longer than
 		// a lease of others: what may be there counts until its lease is proven over.
-		{"leader-lost-machines-out-of-reach", func(s *Cluster, w []*Machine) []string {
-			s.At(12, func() {
-				h := s.leaderProcess()
-				h.Crash()
-				s.after(30*time.Second, h.Start)
+		{"leader-lost-machines-out-of-reach", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(12, func() {
+				process := cluster.leaderProcess()
+				process.Crash()
+				cluster.after(30*time.Second, process.Start)
 			})
-			s.At(10, func() {
-				for _, n := range s.controllerNames { // only the end of its lease proves what is gone
-					s.cutLink(n, "cloud")
+			cluster.At(10, func() {
+				for _, name := range cluster.controllerNames { // only the end of its lease proves what is gone
+					cluster.cutLink(name, "cloud")
 				}
 			})
-			s.cutLinksFor(11.5, 45, s.machineLinks(w[0]))
-			s.partitionInboundFor(11.5, 45, w[3])
+			cluster.cutLinksFor(11.5, 45, cluster.machineLinks(machines[0]))
+			cluster.partitionInboundFor(11.5, 45, machines[3])
 			return nil
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
 			// 14 s after the grant that may have answered it last, not before.
 			for _, task := range []string{"wk-1/0", "wk-1/1"} {
-				if n := strings.Count(s.TraceText(), "starts "+task+"\n"); n < 1 || n > 2 {
+				if n := strings.Count(cluster.TraceText(), "starts "+task+"\n"); n < 1 || n > 2 {
 					t.Errorf("%s started %d times", task, n)
 				}
 			}
 		}},
 		// Users cancel and ask while the state service answers up to 1.8 s late, refuses
 		// the leader alone and then everybody.
-		{"slow-then-refused", func(s *Cluster, w []*Machine) []string {
-			s.At(8, func() {
-				s.State.ResponseDelay = func(string) time.Duration { return time.Duration(1.8 * s.random.Float64() * float64(time.Second)) }
+		{"slow-then-refused", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(8, func() {
+				cluster.State.ResponseDelay = func(string) time.Duration {
+					return time.Duration(1.8 * cluster.random.Float64() * float64(time.Second))
+				}
 			})
-			s.At(20, func() { s.State.ResponseDelay = nil })
-			s.At(16, func() {
-				n := s.leaderProcess().name
-				s.SetRefusal(n, "state", true)
-				s.after(8*time.Second, func() { s.SetRefusal(n, "state", false) })
+			cluster.At(20, func() { cluster.State.ResponseDelay = nil })
+			cluster.At(16, func() {
+				name := cluster.leaderProcess().name
+				cluster.SetRefusal(name, "state", true)
+				cluster.after(8*time.Second, func() { cluster.SetRefusal(name, "state", false) })
 			})
-			s.At(21, func() { s.State.StartOutage(40 * time.Second) })
+			cluster.At(21, func() { cluster.State.StartOutage(40 * time.Second) })
 			return nil
 		}, nil},
 		// Half of the transactions get no answer and are carried out 2 to 12 s later: of
 		// acceptances, cancellations, ends, progress and owners that change.
-		{"late-writes", func(s *Cluster, w []*Machine) []string {
-			s.delayRequestsFor(7, 26, 0.5, 2, 12, "/multi")
-			s.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 5, 1, 4, nil))
-			s.Submit(11, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 4, nil))
-			s.At(14, func() { s.nonLeaderOwner().Crash() })
-			s.At(17, s.Start)
+		{"late-writes", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.delayRequestsFor(7, 26, 0.5, 2, 12, "/multi")
+			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 5, 1, 4, nil))
+			cluster.Submit(11, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 4, nil))
+			cluster.At(14, func() { cluster.nonLeaderOwner().Crash() })
+			cluster.At(17, cluster.Start)
 			return []string{"wk-4", "wk-5"}
 		}, nil},
 		// The leader is cut from the state service and the others; workers and users
 		// still reach it. wk-3 and wk-4 are cancelled through the new one; asked, the old
 		// one tells nobody that they are pending or run.
-		{"leader-isolated", func(s *Cluster, w []*Machine) []string {
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 60, nil))
+		{"leader-isolated", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 60, nil))
 			old := ""
-			s.At(11, func() {
-				old = s.leaderProcess().name
-				s.after(40*time.Second, s.IsolateController(old))
+			cluster.At(11, func() {
+				old = cluster.leaderProcess().name
+				cluster.after(40*time.Second, cluster.IsolateController(old))
 			})
-			s.Cancel(14, "wk-4")
+			cluster.Cancel(14, "wk-4")
 			for at := 16.0; at < 45; at += 3 {
-				s.At(at, func() {
+				cluster.At(at, func() {
 					for _, id := range []string{"wk-3", "wk-4"} {
 						out := &protocol.JobState{}
-						s.request("user", s.apiAddress(old), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
-							if status == 200 && out.Status != protocol.JobCancelled && s.ReportedStatus(id) == protocol.JobCancelled {
-								s.reportViolation("went_back: the isolated one says %s is %s", id, out.Status)
+						cluster.request("user", cluster.apiAddress(old), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
+							if status == 200 && out.Status != protocol.JobCancelled && cluster.ReportedStatus(id) == protocol.JobCancelled {
+								cluster.reportViolation("went_back: the isolated one says %s is %s", id, out.Status)
 							}
 						})
 					}
 				})
 			}
 			return nil
-		}, func(t *testing.T, s *Cluster, w []*Machine) { expectStatus(t, s, protocol.JobCancelled, "wk-4") }},
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
+		}},
 		// Tasks that end 4, 16 and 28 s after their start, over two changes of leader, an
 		// array, a gang and single tasks of a rush.
-		{"ends-far-apart", func(s *Cluster, w []*Machine) []string {
-			s.RuntimeSpread = map[string]float64{"apart": 3}
-			apart := func(x *protocol.Submission) { x.Class = stringPointer("apart") }
-			for _, n := range s.controllerNames {
-				s.Controllers[n].settings.Dispatch.Anywhere = 0
+		{"ends-far-apart", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.RuntimeSpread = map[string]float64{"apart": 3}
+			apart := func(submission *protocol.Submission) { submission.Class = stringPointer("apart") }
+			for _, name := range cluster.controllerNames {
+				cluster.Controllers[name].settings.Dispatch.Anywhere = 0
 			}
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, apart))
-			s.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 8, apart))
-			s.Submit(9, NewSubmission("wk-6", protocol.ShapeGang, 2, 1, 6, nil))
-			s.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 14, nil))
-			s.restartQuickly(12, 0.4, s.leaderProcess)
-			s.restartQuickly(22, 6, s.leaderProcess)
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, apart))
+			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 8, apart))
+			cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeGang, 2, 1, 6, nil))
+			cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 14, nil))
+			cluster.restartQuickly(12, 0.4, cluster.leaderProcess)
+			cluster.restartQuickly(22, 6, cluster.leaderProcess)
 			return []string{"wk-4", "wk-5", "wk-6", "wk-7"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
 			for _, id := range []string{"wk-4", "wk-5", "wk-7"} {
-				if n, all := strings.Count(s.TraceText(), "starts "+id+"/"), s.jobs[id].Tasks; n != all {
+				if n, all := strings.Count(cluster.TraceText(), "starts "+id+"/"), cluster.jobs[id].Tasks; n != all {
 					t.Errorf("%d starts of %d tasks of %s: an end was lost", n, all, id)
 				}
 			}
@@ -143,29 +147,29 @@
 		// Each report comes again, seconds to more than a lease later, over a change of
 		// owner, a session's end and a gang's second attempt, and the cancellation of a job
 		// some of whose tasks are done.
-		{"old-reports", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 45, 2, 7, 16, 25)
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 2, 2, 12, nil))
-			s.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 8, 1, 9, nil))
-			s.cutLinksFor(13, 29, s.machineLinks(w[0]))
-			s.At(16, func() { s.nonLeaderOwner().Crash() })
-			s.At(26, s.Start)
-			s.Cancel(18.5, "wk-5")
+		{"old-reports", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 45, 2, 7, 16, 25)
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 2, 2, 12, nil))
+			cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 8, 1, 9, nil))
+			cluster.cutLinksFor(13, 29, cluster.machineLinks(machines[0]))
+			cluster.At(16, func() { cluster.nonLeaderOwner().Crash() })
+			cluster.At(26, cluster.Start)
+			cluster.Cancel(18.5, "wk-5")
 			return []string{"wk-4"}
 		}, nil},
 		// All orders arrive again, up to 12 s after they were carried out, while work of a
 		// lower rank is stopped for two gangs and begins elsewhere. Found by this day: a
 		// copy of a launch started a task again that had been stopped and reaped.
-		{"orders-repeated", func(s *Cluster, w []*Machine) []string {
-			s.duplicateOrdersFor(4, 40, 1, 0.2, 12)
-			low := func(x *protocol.Submission) {
+		{"orders-repeated", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateOrdersFor(4, 40, 1, 0.2, 12)
+			low := func(submission *protocol.Submission) {
 				m, v := 4.0, 1.0
-				x.CheckpointInterval, x.CheckpointDuration, x.Priority = &m, &v, stringPointer("best_effort")
+				submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
 			}
-			high := func(x *protocol.Submission) { x.Priority = stringPointer("high") }
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 20, low))
-			s.Submit(14, NewSubmission("wk-5", protocol.ShapeGang, 2, 4, 6, high))
-			s.Submit(20, NewSubmission("wk-6", protocol.ShapeGang, 3, 4, 6, high))
+			high := func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 20, low))
+			cluster.Submit(14, NewSubmission("wk-5", protocol.ShapeGang, 2, 4, 6, high))
+			cluster.Submit(20, NewSubmission("wk-6", protocol.ShapeGang, 3, 4, 6, high))
 			return []string{"wk-4", "wk-5", "wk-6"}
 		}, nil},
 	})
@@ -173,187 +177,197 @@
 
 // Each once, to be read.
 func TestMoreCombinedFaultScenarios(t *testing.T) {
-	low := func(x *protocol.Submission) {
+	low := func(submission *protocol.Submission) {
 		m, v := 4.0, 1.0
-		x.CheckpointInterval, x.CheckpointDuration, x.Priority = &m, &v, stringPointer("best_effort")
+		submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
 	}
-	high := func(x *protocol.Submission) { x.Priority = stringPointer("high") }
+	high := func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }
 	yes := true
-	together := func(x *protocol.Submission) { x.SingleZone = &yes }
+	together := func(submission *protocol.Submission) { submission.SingleZone = &yes }
 	runScenarios(t, "combined-", 780, 260, 150, nil, []scenario{
 		// Six jobs are called off within a fifth of a second while five of their machines
 		// hang; a moment later the state service refuses the leader alone, and a second
 		// later it is down for longer than cancel_s.
-		{"called-off-at-the-refusal", func(s *Cluster, w []*Machine) []string {
+		{"called-off-at-the-refusal", func(cluster *Cluster, machines []*Machine) []string {
 			for i := range 6 {
 				id := fmt.Sprintf("wk-c%d", i)
-				s.Submit(7+float64(i)/10, NewSubmission(id, protocol.ShapeArray, 1, 1, 200, nil))
-				s.Cancel(16+float64(i)/30, id)
+				cluster.Submit(7+float64(i)/10, NewSubmission(id, protocol.ShapeArray, 1, 1, 200, nil))
+				cluster.Cancel(16+float64(i)/30, id)
 			}
 			for i := range 5 {
-				s.At(16.05, func() { w[i].Hung = true })
-				s.At(26, func() { w[i].Hung = false })
+				cluster.At(16.05, func() { machines[i].Hung = true })
+				cluster.At(26, func() { machines[i].Hung = false })
 			}
-			s.At(16.1, func() {
-				n := s.leaderProcess().name
-				s.SetRefusal(n, "state", true)
-				s.after(6*time.Second, func() { s.SetRefusal(n, "state", false) })
+			cluster.At(16.1, func() {
+				name := cluster.leaderProcess().name
+				cluster.SetRefusal(name, "state", true)
+				cluster.after(6*time.Second, func() { cluster.SetRefusal(name, "state", false) })
 			})
-			s.At(17.1, func() { s.State.StartOutage(40 * time.Second) })
+			cluster.At(17.1, func() { cluster.State.StartOutage(40 * time.Second) })
 			return nil
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			expectStatus(t, s, protocol.JobCancelled, "wk-c0", "wk-c1", "wk-c2", "wk-c3", "wk-c4", "wk-c5")
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-c0", "wk-c1", "wk-c2", "wk-c3", "wk-c4", "wk-c5")
 		}},
 		// A team is at its limit when its owner and the leader end; two of its machines
 		// can't be asked; the job that fills the limit is cancelled, another of the team waits.
-		{"at-the-limit", func(s *Cluster, w []*Machine) []string {
-			blue := func(x *protocol.Submission) { x.Team = stringPointer("blue") }
-			s.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 9, 1, 60, blue))
-			s.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 5, 1, 6, blue))
-			s.At(13.5, func() {
-				for i, x := range s.machinesWith("wk-4") {
+		{"at-the-limit", func(cluster *Cluster, machines []*Machine) []string {
+			blue := func(submission *protocol.Submission) { submission.Team = stringPointer("blue") }
+			cluster.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 9, 1, 60, blue))
+			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 5, 1, 6, blue))
+			cluster.At(13.5, func() {
+				for i, machine := range cluster.machinesWith("wk-4") {
 					if i < 2 {
-						s.cutLinksFor(13.5, 40, s.machineLinks(x))
+						cluster.cutLinksFor(13.5, 40, cluster.machineLinks(machine))
 					}
 				}
 			})
-			s.At(14, func() {
-				h := s.ownerOf(s.machinesWith("wk-4")[0])
-				for _, x := range []*ControllerProcess{h, s.leaderProcess()} {
+			cluster.At(14, func() {
+				process := cluster.ownerOf(cluster.machinesWith("wk-4")[0])
+				for _, x := range []*ControllerProcess{process, cluster.leaderProcess()} {
 					if x.running {
 						x.Crash()
-						s.after(8*time.Second, x.Start)
+						cluster.after(8*time.Second, x.Start)
 					}
 				}
 			})
-			s.Cancel(15, "wk-4")
+			cluster.Cancel(15, "wk-4")
 			return []string{"wk-5"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) { expectStatus(t, s, protocol.JobCancelled, "wk-4") }},
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
+		}},
 		// The part that keeps a team's limit loses all its machines, and the cloud has no
 		// others: it is lent what is idle elsewhere. Found by random days: the team's jobs
 		// waited for ever.
-		{"limit-without-machines", func(s *Cluster, w []*Machine) []string {
-			blue := func(x *protocol.Submission) { x.Team = stringPointer("blue") }
-			s.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 3, blue))
-			s.At(9.5, func() { s.killMachinesOf(s.ownerOf(s.machinesWith("wk-4")[0]), w) })
-			s.Submit(11, NewSubmission("wk-5", protocol.ShapeArray, 5, 1, 6, blue))
+		{"limit-without-machines", func(cluster *Cluster, machines []*Machine) []string {
+			blue := func(submission *protocol.Submission) { submission.Team = stringPointer("blue") }
+			cluster.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 3, blue))
+			cluster.At(9.5, func() { cluster.killMachinesOf(cluster.ownerOf(cluster.machinesWith("wk-4")[0]), machines) })
+			cluster.Submit(11, NewSubmission("wk-5", protocol.ShapeArray, 5, 1, 6, blue))
 			return []string{"wk-4", "wk-5"}
 		}, nil},
 		// Two machines open no connection to any controller for longer than two leases;
 		// orders reach them. What is there is lost with its lease, and begins elsewhere;
 		// nothing more is sent there until they report again.
-		{"mute-machines", func(s *Cluster, w []*Machine) []string {
-			s.partitionOutbound(11, 45, w[2], w[3])
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 9, nil))
-			s.Submit(20, NewSubmission("wk-5", protocol.ShapeArray, 24, 1, 9, nil))
-			s.Submit(21, NewSubmission("wk-6", protocol.ShapeGang, 2, 3, 6, nil))
-			s.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 4, 1, 90, nil))
-			s.Cancel(16, "wk-7")
+		{"mute-machines", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.partitionOutbound(11, 45, machines[2], machines[3])
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 9, nil))
+			cluster.Submit(20, NewSubmission("wk-5", protocol.ShapeArray, 24, 1, 9, nil))
+			cluster.Submit(21, NewSubmission("wk-6", protocol.ShapeGang, 2, 3, 6, nil))
+			cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 4, 1, 90, nil))
+			cluster.Cancel(16, "wk-7")
 			for i := range 12 { // something that fits at any time
-				s.Submit(11.5+float64(i), NewSubmission(fmt.Sprintf("wk-m%d", i), protocol.ShapeArray, 6, 0.5, 2.5, nil))
+				cluster.Submit(11.5+float64(i), NewSubmission(fmt.Sprintf("wk-m%d", i), protocol.ShapeArray, 6, 0.5, 2.5, nil))
 			}
 			return []string{"wk-4", "wk-5", "wk-6", "wk-m0", "wk-m11"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			expectStatus(t, s, protocol.JobCancelled, "wk-7")
-			for _, line := range s.TraceLines {
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-7")
+			for _, line := range cluster.TraceLines {
 				var at float64
 				var id string
-				if fmt.Sscanf(line, "%f %s starts", &at, &id); strings.Contains(line, " starts ") && at > 11+3*s.Settings.Deployment.Workers.Report && at < 45 && (id == w[2].id || id == w[3].id) {
+				if fmt.Sscanf(line, "%f %s starts", &at, &id); strings.Contains(line, " starts ") && at > 11+3*cluster.Settings.Deployment.Workers.Report && at < 45 && (id == machines[2].id || id == machines[3].id) {
 					t.Errorf("a task is sent to a machine that reaches nobody: %s", line)
 				}
 			}
 		}},
 		// A zone with a controller and half of the machines is cut off for three leases;
 		// jobs are cancelled and submitted outside.
-		{"zone-cut-with-its-controller", func(s *Cluster, w []*Machine) []string {
-			s.At(11, func() { s.At(53, s.PartitionZone("b")) })
-			s.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 60, nil))
-			s.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
-			s.Cancel(15, "wk-4")
+		{"zone-cut-with-its-controller", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(11, func() { cluster.At(53, cluster.PartitionZone("b")) })
+			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 60, nil))
+			cluster.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
+			cluster.Cancel(15, "wk-4")
 			return []string{"wk-5"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) { expectStatus(t, s, protocol.JobCancelled, "wk-4") }},
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
+		}},
 		// Leaders change ten times in two minutes, three of them inside an outage; a job of
 		// long tasks runs all the while on machines of which one is out of reach.
-		{"ten-leaders", func(s *Cluster, w []*Machine) []string {
+		{"ten-leaders", func(cluster *Cluster, machines []*Machine) []string {
 			for i := range 10 {
-				s.restartQuickly(12+12*float64(i), []float64{0.3, 5, 9}[i%3], s.leaderProcess)
+				cluster.restartQuickly(12+12*float64(i), []float64{0.3, 5, 9}[i%3], cluster.leaderProcess)
 			}
-			s.At(46, func() { s.State.StartOutage(27 * time.Second) })
-			s.cutLinksFor(20, 80, s.machineLinks(w[1]))
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 40, nil))
-			s.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 3, 1, 200, nil))
-			s.Cancel(60, "wk-5")
-			s.Submit(90, NewSubmission("wk-6", protocol.ShapeGang, 3, 3, 6, nil))
+			cluster.At(46, func() { cluster.State.StartOutage(27 * time.Second) })
+			cluster.cutLinksFor(20, 80, cluster.machineLinks(machines[1]))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 40, nil))
+			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 3, 1, 200, nil))
+			cluster.Cancel(60, "wk-5")
+			cluster.Submit(90, NewSubmission("wk-6", protocol.ShapeGang, 3, 3, 6, nil))
 			return []string{"wk-4", "wk-6"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) { expectStatus(t, s, protocol.JobCancelled, "wk-5") }},
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-5")
+		}},
 		// Arrays and a gang that may be in one zone only, and a job bound to zone b, lose
 		// machines there: one dies, one hangs, one loses the network.
-		{"one-zone-loses-machines", func(s *Cluster, w []*Machine) []string {
-			for _, z := range []string{"a", "b"} {
-				s.Cloud.Capacity["small/"+z+"/false"] = 2
+		{"one-zone-loses-machines", func(cluster *Cluster, machines []*Machine) []string {
+			for _, zone := range []string{"a", "b"} {
+				cluster.Cloud.Capacity["small/"+zone+"/false"] = 2
 			}
-			s.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 12, together))
-			s.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 6, 2, 10, func(x *protocol.Submission) { together(x); x.Zone = stringPointer("b") }))
-			s.Submit(9, NewSubmission("wk-6", protocol.ShapeGang, 2, 3, 8, together))
-			s.Submit(10, NewSubmission("wk-7", protocol.ShapeArray, 5, 1, 12, together))
-			s.At(12, w[1].Die)
-			s.At(13, func() { w[3].Hung = true })
-			s.At(22, func() { w[3].Hung = false })
-			s.cutLinksFor(13, 45, s.machineLinks(w[5]))
-			s.restartQuickly(14, 6, s.leaderProcess)
+			cluster.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 12, together))
+			cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 6, 2, 10, func(submission *protocol.Submission) { together(submission); submission.Zone = stringPointer("b") }))
+			cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeGang, 2, 3, 8, together))
+			cluster.Submit(10, NewSubmission("wk-7", protocol.ShapeArray, 5, 1, 12, together))
+			cluster.At(12, machines[1].Die)
+			cluster.At(13, func() { machines[3].Hung = true })
+			cluster.At(22, func() { machines[3].Hung = false })
+			cluster.cutLinksFor(13, 45, cluster.machineLinks(machines[5]))
+			cluster.restartQuickly(14, 6, cluster.leaderProcess)
 			return []string{"wk-4", "wk-5", "wk-6", "wk-7"}
 		}, nil},
 		// All controllers are away for longer than a lease; one is back before the others.
-		{"all-away", func(s *Cluster, w []*Machine) []string {
-			s.crashFor(11, 31, "n0")
-			s.crashFor(11, 36, "n1", "n2")
-			s.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 60, nil))
-			s.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
-			s.Cancel(10.95, "wk-4") // stored or not, nobody is told
+		{"all-away", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.crashFor(11, 31, "n0")
+			cluster.crashFor(11, 36, "n1", "n2")
+			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 60, nil))
+			cluster.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
+			cluster.Cancel(10.95, "wk-4") // stored or not, nobody is told
 			return []string{"wk-5"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) { expectStatus(t, s, protocol.JobCancelled, "wk-4") }},
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
+		}},
 		// More work than room, urgent and not, while what machines and controllers say to
 		// each other takes up to 1.5 s each way.
-		{"crowded-over-slow-links", func(s *Cluster, w []*Machine) []string {
-			s.addLinkLatency(6, 70, 1.5)
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 12, low))
-			s.Submit(14, NewSubmission("wk-5", protocol.ShapeGang, 3, 4, 6, high))
-			s.Submit(17, NewSubmission("wk-6", protocol.ShapeArray, 10, 2, 5, high))
-			s.Submit(20, NewSubmission("wk-7", protocol.ShapeGang, 2, 4, 6, nil))
+		{"crowded-over-slow-links", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.addLinkLatency(6, 70, 1.5)
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 12, low))
+			cluster.Submit(14, NewSubmission("wk-5", protocol.ShapeGang, 3, 4, 6, high))
+			cluster.Submit(17, NewSubmission("wk-6", protocol.ShapeArray, 10, 2, 5, high))
+			cluster.Submit(20, NewSubmission("wk-7", protocol.ShapeGang, 2, 4, 6, nil))
 			return []string{"wk-4", "wk-5", "wk-6", "wk-7"}
 		}, nil},
 		// Users submit again what runs and what is done, cancel what is done, and submit
 		// what lacks a field or can never run, over a change of leader.
-		{"odd-requests", func(s *Cluster, w []*Machine) []string {
-			sub := NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 10, nil)
-			s.Submit(8, sub)
-			s.sendInvalidRequests(9, 40, sub)
-			s.restartQuickly(14, 5, s.leaderProcess)
-			for i, n := range s.controllerNames {
-				s.At(45+float64(i), func() { s.repeatRequest(n, "cancel", sub) })
-				s.At(48+float64(i), func() { s.repeatRequest(n, "submit", sub) })
+		{"odd-requests", func(cluster *Cluster, machines []*Machine) []string {
+			submission := NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 10, nil)
+			cluster.Submit(8, submission)
+			cluster.sendInvalidRequests(9, 40, submission)
+			cluster.restartQuickly(14, 5, cluster.leaderProcess)
+			for i, name := range cluster.controllerNames {
+				cluster.At(45+float64(i), func() { cluster.repeatRequest(name, "cancel", submission) })
+				cluster.At(48+float64(i), func() { cluster.repeatRequest(name, "submit", submission) })
 			}
 			return []string{"wk-4"}
 		}, nil},
 		// The leader has its workers and users alone for over a minute; jobs are cancelled
 		// and accepted through the others meanwhile, and it is back at once with all.
-		{"isolated-for-over-a-minute", func(s *Cluster, w []*Machine) []string {
-			s.At(11, func() { s.after(72*time.Second, s.IsolateController(s.leaderProcess().name)) })
-			s.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 100, nil))
-			s.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
-			s.Submit(60, NewSubmission("wk-6", protocol.ShapeArray, 12, 1, 8, nil))
-			s.Cancel(15, "wk-4")
+		{"isolated-for-over-a-minute", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(11, func() { cluster.after(72*time.Second, cluster.IsolateController(cluster.leaderProcess().name)) })
+			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 100, nil))
+			cluster.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
+			cluster.Submit(60, NewSubmission("wk-6", protocol.ShapeArray, 12, 1, 8, nil))
+			cluster.Cancel(15, "wk-4")
 			return []string{"wk-5", "wk-6"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) { expectStatus(t, s, protocol.JobCancelled, "wk-4") }},
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
+		}},
 		// Half of a chunk is done when its part loses its machines, the rest moves to other
 		// parts; copies of the reports that listed what is done, and what ran, come for long.
-		{"copies-of-a-moved-chunk", func(s *Cluster, w []*Machine) []string {
-			s.duplicateReportsFor(6, 60, 3, 9, 20, 30)
-			s.Submit(14, NewSubmission("wk-4", protocol.ShapeArray, 24, 1, 5, nil))
-			s.At(20.5, func() { s.killMachinesOf(s.ownerOf(s.machinesWith("wk-4")[0]), w) })
+		{"copies-of-a-moved-chunk", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.duplicateReportsFor(6, 60, 3, 9, 20, 30)
+			cluster.Submit(14, NewSubmission("wk-4", protocol.ShapeArray, 24, 1, 5, nil))
+			cluster.At(20.5, func() { cluster.killMachinesOf(cluster.ownerOf(cluster.machinesWith("wk-4")[0]), machines) })
 			return []string{"wk-4"}
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			if n := s.tasksStartedOnce("wk-4"); n != 22 { // two ran on machines that died
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			if n := cluster.tasksStartedOnce("wk-4"); n != 22 { // two ran on machines that died
 				t.Errorf("%d of 24 tasks started once only, want 22", n)
 			}
 		}},
--- a/internal/simulator/late_writes_test.go
+++ b/internal/simulator/late_writes_test.go
@@ -21,56 +21,56 @@
 // once. Found by reading: both started it.
 func TestNewOwnerStartsTaskBeforeItsRecord(t *testing.T) {
 	for seed := uint64(720); seed < 740; seed++ {
-		s := NewCluster(seed)
-		s.ServeAPI()
-		w := addMachines(s, 9, 0)
-		for _, n := range s.controllerNames {
-			s.Controllers[n].settings.Dispatch.Anywhere = 0
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		machines := addMachines(cluster, 9, 0)
+		for _, name := range cluster.controllerNames {
+			cluster.Controllers[name].settings.Dispatch.Anywhere = 0
 		}
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 3, 1, 4, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 3, 1, 4, nil))
 		var old *ControllerProcess
 		taker, k := "", int32(0)
-		s.At(11, func() {
-			old = s.nonLeaderOwner()
+		cluster.At(11, func() {
+			old = cluster.nonLeaderOwner()
 			k = int32(old.Controller.DebugState().Shards[0].Shard)
-			for _, n := range s.controllerNames {
-				if h := s.Controllers[n]; h != old && h != s.leaderProcess() {
-					taker = n
+			for _, name := range cluster.controllerNames {
+				if process := cluster.Controllers[name]; process != old && process != cluster.leaderProcess() {
+					taker = name
 				}
 			}
-			if taker == "" || old == s.leaderProcess() {
+			if taker == "" || old == cluster.leaderProcess() {
 				t.Fatal("no controllers to play it with")
 			}
-			for _, x := range w[:6] { // the old owner alone reaches most machines
-				if s.ownerOf(x) == old {
-					s.cutLink(x.Address(), taker)
-					s.cutLink(x.Address(), s.apiAddress(taker))
+			for _, machine := range machines[:6] { // the old owner alone reaches most machines
+				if cluster.ownerOf(machine) == old {
+					cluster.cutLink(machine.Address(), taker)
+					cluster.cutLink(machine.Address(), cluster.apiAddress(taker))
 				}
 			}
-			s.DelayedRequests = append(s.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
-				return 0, s.now < 15*time.Second && from == old.name && strings.HasPrefix(path, "/changes")
+			cluster.DelayedRequests = append(cluster.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
+				return 0, cluster.now < 15*time.Second && from == old.name && strings.HasPrefix(path, "/changes")
 			})
 		})
-		s.Submit(11.05, NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 4, nil)) // ends the watch that is open
-		s.At(11.5, func() {
-			s.Controllers[taker].Controller.HandlePeerMessage(&peermsg.Envelope{From: s.leaderProcess().name, Body: &peermsg.Envelope_ShardAssignment{ShardAssignment: &peermsg.ShardAssignment{Shard: k}}})
+		cluster.Submit(11.05, NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 4, nil)) // ends the watch that is open
+		cluster.At(11.5, func() {
+			cluster.Controllers[taker].Controller.HandlePeerMessage(&peermsg.Envelope{From: cluster.leaderProcess().name, Body: &peermsg.Envelope_ShardAssignment{ShardAssignment: &peermsg.ShardAssignment{Shard: k}}})
 		})
 		for i := range 6 {
 			id := fmt.Sprintf("wk-s%d", i)
-			s.At(11.55+float64(i)/20, func() {
-				sub := NewSubmission(id, protocol.ShapeArray, 1, 1, 20, nil)
-				s.jobs[id], _ = sub.Validate()
-				s.request("user", s.apiAddress(old.name), "POST", "/v2/runs", sub, nil, 5*time.Second, func(status int) {
-					s.Trace("%s accepted: %d", id, status)
+			cluster.At(11.55+float64(i)/20, func() {
+				submission := NewSubmission(id, protocol.ShapeArray, 1, 1, 20, nil)
+				cluster.jobs[id], _ = submission.Validate()
+				cluster.request("user", cluster.apiAddress(old.name), "POST", "/v2/runs", submission, nil, 5*time.Second, func(status int) {
+					cluster.Trace("%s accepted: %d", id, status)
 				})
 			})
 		}
-		s.Start()
-		s.Run(60)
-		for _, b := range s.Violations {
-			t.Errorf("seed %d: rule broken: %s", seed, b)
+		cluster.Start()
+		cluster.Run(60)
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
 		}
-		if !strings.Contains(s.TraceText(), "starts wk-s0/0") || !strings.Contains(s.TraceText(), "starts wk-s5/0") {
+		if !strings.Contains(cluster.TraceText(), "starts wk-s0/0") || !strings.Contains(cluster.TraceText(), "starts wk-s5/0") {
 			t.Errorf("seed %d: not all of the single tasks started", seed)
 		}
 	}
@@ -93,11 +93,11 @@
 }
 
 func puts(ops []protocol.Mutation, under string) bool {
-	return slices.ContainsFunc(ops, func(o protocol.Mutation) bool { return strings.HasPrefix(o.Put, under) })
+	return slices.ContainsFunc(ops, func(mutation protocol.Mutation) bool { return strings.HasPrefix(mutation.Put, under) })
 }
 
 func deletes(ops []protocol.Mutation, under string) bool {
-	return slices.ContainsFunc(ops, func(o protocol.Mutation) bool { return strings.HasPrefix(o.Delete, under) })
+	return slices.ContainsFunc(ops, func(mutation protocol.Mutation) bool { return strings.HasPrefix(mutation.Delete, under) })
 }
 
 // Each kind of write late by 2 to 12 s, alone and in pairs: half of those that are made
@@ -111,46 +111,46 @@
 	for i := range writes {
 		for k := i; k < len(writes); k++ {
 			name := writes[i].name + " and " + writes[k].name
-			s := NewCluster(uint64(900 + 10*i + k))
-			s.ServeAPI()
-			w := submitStandardLoad(s)
-			s.Cloud.Capacity["small/a/false"] = 3
-			s.DelayedRequests = append(s.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
+			cluster := NewCluster(uint64(900 + 10*i + k))
+			cluster.ServeAPI()
+			machines := submitStandardLoad(cluster)
+			cluster.Cloud.Capacity["small/a/false"] = 3
+			cluster.DelayedRequests = append(cluster.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
 				var x protocol.Transaction
-				if path != "/multi" || s.now < 7*time.Second || s.now > 37*time.Second || protocol.Decode(body, &x) != nil {
+				if path != "/multi" || cluster.now < 7*time.Second || cluster.now > 37*time.Second || protocol.Decode(body, &x) != nil {
 					return 0, false
 				}
 				for _, kind := range []int{i, k} {
-					if writes[kind].is(x.Mutations) && s.random.IntN(2) == 0 {
+					if writes[kind].is(x.Mutations) && cluster.random.IntN(2) == 0 {
 						seen[writes[kind].name]++
-						return time.Duration((2 + 10*s.random.Float64()) * float64(time.Second)), true
+						return time.Duration((2 + 10*cluster.random.Float64()) * float64(time.Second)), true
 					}
 				}
 				return 0, false
 			})
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 12, 1, 8, nil))
-			s.Submit(10, NewSubmission("wk-5", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
-			s.Submit(12, NewSubmission("wk-6", protocol.ShapeArray, 30, 1, 6, nil))
-			s.Submit(15, NewSubmission("wk-7", protocol.ShapeArray, 6, 1, 40, nil))
-			s.Cancel(20, "wk-7")
-			s.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}}) // signs of life
-			s.At(11, func() { s.SetRefusal("n1", "state", true) })
-			s.At(17, func() { s.SetRefusal("n1", "state", false) })
-			s.At(14, func() { w[5].Die() })
-			s.restartQuickly(22, 0.5, s.nonLeaderOwner)
-			s.restartQuickly(28, 4, s.leaderProcess)
-			s.Start()
-			s.Run(200)
-			for _, b := range s.Violations {
-				t.Errorf("%s: rule broken: %s", name, b)
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 12, 1, 8, nil))
+			cluster.Submit(10, NewSubmission("wk-5", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
+			cluster.Submit(12, NewSubmission("wk-6", protocol.ShapeArray, 30, 1, 6, nil))
+			cluster.Submit(15, NewSubmission("wk-7", protocol.ShapeArray, 6, 1, 40, nil))
+			cluster.Cancel(20, "wk-7")
+			cluster.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}}) // signs of life
+			cluster.At(11, func() { cluster.SetRefusal("n1", "state", true) })
+			cluster.At(17, func() { cluster.SetRefusal("n1", "state", false) })
+			cluster.At(14, func() { machines[5].Die() })
+			cluster.restartQuickly(22, 0.5, cluster.nonLeaderOwner)
+			cluster.restartQuickly(28, 4, cluster.leaderProcess)
+			cluster.Start()
+			cluster.Run(200)
+			for _, violation := range cluster.Violations {
+				t.Errorf("%s: rule broken: %s", name, violation)
 			}
 			for _, id := range []string{"wk-1", "wk-2", "wk-4", "wk-5", "wk-6"} {
-				if got := s.ReportedStatus(id); got != protocol.JobDone {
+				if got := cluster.ReportedStatus(id); got != protocol.JobDone {
 					t.Errorf("%s: %s is %q", name, id, got)
 				}
 			}
 			for _, id := range []string{"wk-3", "wk-7"} {
-				if got := s.ReportedStatus(id); got != protocol.JobCancelled {
+				if got := cluster.ReportedStatus(id); got != protocol.JobCancelled {
 					t.Errorf("%s: %s is %q, was to be cancelled", name, id, got)
 				}
 			}
@@ -186,9 +186,9 @@
 func (c *Cluster) makePartsUneven() {
 	c.RuntimeFactors = map[string]float64{"long": 6}
 	for i := range 24 {
-		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, func(x *protocol.Submission) {
+		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, func(submission *protocol.Submission) {
 			if i%3 == 0 {
-				x.Class = stringPointer("long")
+				submission.Class = stringPointer("long")
 			}
 		}))
 	}
@@ -201,32 +201,32 @@
 func TestCancellationDuringChunkMove(t *testing.T) {
 	met := 0
 	for seed := uint64(1400); seed < 1412; seed++ {
-		s := NewCluster(seed)
-		s.ServeAPI()
-		addMachines(s, 9, 0)
-		s.State.ResponseDelay = func(path string) time.Duration {
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 9, 0)
+		cluster.State.ResponseDelay = func(path string) time.Duration {
 			if path == "/multi" {
 				return 700 * time.Millisecond
 			}
 			return 0
 		}
-		s.DropCancellationNotices = seed%2 == 1 // the word of the cancellation covers most of it
-		s.makePartsUneven()
-		s.onChunkMove(6, func(id string) {
+		cluster.DropCancellationNotices = seed%2 == 1 // the word of the cancellation covers most of it
+		cluster.makePartsUneven()
+		cluster.onChunkMove(6, func(id string) {
 			met++
-			s.requestCancellation(id)
+			cluster.requestCancellation(id)
 		})
-		s.Start()
-		s.Run(120)
-		for _, b := range s.Violations {
-			t.Errorf("seed %d: rule broken: %s", seed, b)
+		cluster.Start()
+		cluster.Run(120)
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
 		}
-		for id, at := range s.cancelledAt {
-			if p := s.histories.job(id); at > 1 && p.startsAfterCancellation > 0 {
-				t.Errorf("seed %d: %d tasks of %s began after its cancellation", seed, p.startsAfterCancellation, id)
+		for id, at := range cluster.cancelledAt {
+			if history := cluster.histories.job(id); at > 1 && history.startsAfterCancellation > 0 {
+				t.Errorf("seed %d: %d tasks of %s began after its cancellation", seed, history.startsAfterCancellation, id)
 			}
 		}
-		for _, x := range s.staleCaches() {
+		for _, x := range cluster.staleCaches() {
 			t.Errorf("seed %d: %s", seed, x)
 		}
 	}
@@ -257,21 +257,21 @@
 func TestDelayedChunkMoves(t *testing.T) {
 	met := 0
 	for seed := uint64(1420); seed < 1432; seed++ {
-		s := NewCluster(seed)
-		s.ServeAPI()
-		addMachines(s, 9, 0)
-		s.makePartsUneven()
-		moved := s.delayWritesFor(6, 60, 0.8, 2, 12, func(o []protocol.Mutation) bool {
-			return len(o) > 0 && strings.HasPrefix(o[0].Put, shard.JobKey("")) && s.State.entries[o[0].Put].Revision > 0
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 9, 0)
+		cluster.makePartsUneven()
+		moved := cluster.delayWritesFor(6, 60, 0.8, 2, 12, func(o []protocol.Mutation) bool {
+			return len(o) > 0 && strings.HasPrefix(o[0].Put, shard.JobKey("")) && cluster.State.entries[o[0].Put].Revision > 0
 		})
-		s.Start()
-		s.Run(150)
+		cluster.Start()
+		cluster.Run(150)
 		met += *moved
-		for _, b := range s.Violations {
-			t.Errorf("seed %d: rule broken: %s", seed, b)
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
 		}
-		for id := range s.jobs {
-			expectStatus(t, s, protocol.JobDone, id)
+		for id := range cluster.jobs {
+			expectStatus(t, cluster, protocol.JobDone, id)
 		}
 	}
 	if met < 20 {
@@ -286,41 +286,41 @@
 func TestDelayedPlacementRecords(t *testing.T) {
 	met := 0
 	for seed := uint64(1440); seed < 1446; seed++ {
-		s := NewCluster(seed)
-		s.ServeAPI()
-		addMachines(s, 3, 0)
-		s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 14, 1, 60, nil))
-		late := s.delayWritesFor(5, 6.5, 1, 9, 9, func(o []protocol.Mutation) bool { return puts(o, "a/p/wk-1") })
-		var w *Machine
-		s.At(7, func() { w = s.AddMachine("small", "a", false) })
-		s.At(16.5, func() {
-			if len(w.attempts) == 0 {
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 3, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 14, 1, 60, nil))
+		late := cluster.delayWritesFor(5, 6.5, 1, 9, 9, func(o []protocol.Mutation) bool { return puts(o, "a/p/wk-1") })
+		var machine *Machine
+		cluster.At(7, func() { machine = cluster.AddMachine("small", "a", false) })
+		cluster.At(16.5, func() {
+			if len(machine.attempts) == 0 {
 				t.Fatalf("seed %d: nothing runs on the new machine", seed)
 			}
-			s.Trace("%s is out of reach", w.id)
-			for _, p := range s.machineLinks(w) {
-				s.cutLink(p[0], p[1])
+			cluster.Trace("%s is out of reach", machine.id)
+			for _, pair := range cluster.machineLinks(machine) {
+				cluster.cutLink(pair[0], pair[1])
 			}
-			for _, n := range s.controllerNames {
-				s.Controllers[n].Crash()
-				s.after(time.Second, s.Controllers[n].Start)
+			for _, name := range cluster.controllerNames {
+				cluster.Controllers[name].Crash()
+				cluster.after(time.Second, cluster.Controllers[name].Start)
 			}
 			for range 6 { // room in each part
-				s.AddMachine("small", "a", false)
+				cluster.AddMachine("small", "a", false)
 			}
-			s.after(40*time.Second, func() {
-				for _, p := range s.machineLinks(w) {
-					s.healLink(p[0], p[1])
+			cluster.after(40*time.Second, func() {
+				for _, pair := range cluster.machineLinks(machine) {
+					cluster.healLink(pair[0], pair[1])
 				}
 			})
 		})
-		s.Start()
-		s.Run(600)
+		cluster.Start()
+		cluster.Run(600)
 		met += *late
-		for _, b := range s.Violations {
-			t.Errorf("seed %d: rule broken: %s", seed, b)
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
 		}
-		expectStatus(t, s, protocol.JobDone, "wk-1")
+		expectStatus(t, cluster, protocol.JobDone, "wk-1")
 	}
 	if met == 0 {
 		t.Error("no record was late")
@@ -332,28 +332,28 @@
 func TestDelayedCancellations(t *testing.T) {
 	ends := map[protocol.JobStatus]int{}
 	for i := range 40 {
-		s := NewCluster(uint64(1460 + i))
-		s.ServeAPI()
-		addMachines(s, 3, 0)
-		sub := NewSubmission("wk-1", protocol.ShapeArray, 2, 1, 5, nil)
-		s.Submit(5, sub)
-		late := s.delayWritesFor(6, 40, 1, 1, 4, func(o []protocol.Mutation) bool {
+		cluster := NewCluster(uint64(1460 + i))
+		cluster.ServeAPI()
+		addMachines(cluster, 3, 0)
+		submission := NewSubmission("wk-1", protocol.ShapeArray, 2, 1, 5, nil)
+		cluster.Submit(5, submission)
+		late := cluster.delayWritesFor(6, 40, 1, 1, 4, func(o []protocol.Mutation) bool {
 			var f shard.FinalRecord
 			return puts(o, "d/") && protocol.Decode(o[0].Value, &f) == nil && f.Status == protocol.JobCancelled
 		})
-		s.OnJobCompleted = func(string) { // while its end is being stored, and before and after
-			s.after(time.Duration(i)*2*time.Millisecond, func() { s.repeatRequest(s.controllerNames[i%3], "cancel", sub) })
+		cluster.OnJobCompleted = func(string) { // while its end is being stored, and before and after
+			cluster.after(time.Duration(i)*2*time.Millisecond, func() { cluster.repeatRequest(cluster.controllerNames[i%3], "cancel", submission) })
 		}
 		for k := range 40 {
-			s.At(12+float64(k)/4, func() { s.repeatRequest(s.controllerNames[k%3], "ask", sub) })
+			cluster.At(12+float64(k)/4, func() { cluster.repeatRequest(cluster.controllerNames[k%3], "ask", submission) })
 		}
-		s.Start()
-		s.Run(40)
-		for _, b := range s.Violations {
-			t.Errorf("%d ms after the end: rule broken: %s", 2*i, b)
+		cluster.Start()
+		cluster.Run(40)
+		for _, violation := range cluster.Violations {
+			t.Errorf("%d ms after the end: rule broken: %s", 2*i, violation)
 		}
 		if *late > 0 {
-			ends[s.ReportedStatus("wk-1")]++
+			ends[cluster.ReportedStatus("wk-1")]++
 		}
 	}
 	if ends[protocol.JobDone] < 3 {
--- a/internal/simulator/leadership_test.go
+++ b/internal/simulator/leadership_test.go
@@ -14,38 +14,40 @@
 // parts are owned within a lease and a half, no rule breaks and all is done.
 func TestRestartDuringElection(t *testing.T) {
 	for i := range 32 {
-		s := newMonitoredCluster(uint64(1300+i), 30)
-		submitStandardLoad(s)
-		ids := append(submitBurst(s, 11, 4, 6, 4), "wk-1", "wk-2")
+		cluster := newMonitoredCluster(uint64(1300+i), 30)
+		submitStandardLoad(cluster)
+		ids := append(submitBurst(cluster, 11, 4, 6, 4), "wk-1", "wk-2")
 		at := 12 + 0.3*float64(i)
-		s.At(12, func() {
-			old := s.leaderProcess()
+		cluster.At(12, func() {
+			old := cluster.leaderProcess()
 			old.Crash()
-			s.after(time.Duration(200+200*i)*time.Millisecond, old.Start) // at once, or well after the election
+			cluster.after(time.Duration(200+200*i)*time.Millisecond, old.Start) // at once, or well after the election
 		})
 		next := func(k int) func() *ControllerProcess {
-			return func() *ControllerProcess { return s.Controllers[s.runningControllers()[k%len(s.runningControllers())]] }
+			return func() *ControllerProcess {
+				return cluster.Controllers[cluster.runningControllers()[k%len(cluster.runningControllers())]]
+			}
 		}
-		s.restartQuickly(at, 0.25, next(i))
-		s.restartQuickly(at+0.15, 0.1, next(i+1))
-		s.At(at+1.5*s.Settings.Deployment.Workers.Lease, func() {
+		cluster.restartQuickly(at, 0.25, next(i))
+		cluster.restartQuickly(at+0.15, 0.1, next(i+1))
+		cluster.At(at+1.5*cluster.Settings.Deployment.Workers.Lease, func() {
 			parts := map[int32]string{}
-			for _, n := range s.runningControllers() {
-				for _, p := range s.Controllers[n].Controller.DebugState().Shards {
-					parts[int32(p.Shard)] = n
+			for _, name := range cluster.runningControllers() {
+				for _, p := range cluster.Controllers[name].Controller.DebugState().Shards {
+					parts[int32(p.Shard)] = name
 				}
 			}
-			if len(parts) != len(s.controllerNames) || !s.leaderProcess().running {
+			if len(parts) != len(cluster.controllerNames) || !cluster.leaderProcess().running {
 				t.Errorf("%.1f s after the leader's end two others: parts %v", at-12, parts)
 			}
 		})
-		s.Start()
-		s.Run(130)
-		for _, b := range append(s.Violations, s.ServiceLevelViolations()...) {
-			t.Errorf("%.1f s after the leader's end two others: %s", at-12, b)
+		cluster.Start()
+		cluster.Run(130)
+		for _, violation := range append(cluster.Violations, cluster.ServiceLevelViolations()...) {
+			t.Errorf("%.1f s after the leader's end two others: %s", at-12, violation)
 		}
-		expectStatus(t, s, protocol.JobDone, ids...)
-		expectStatus(t, s, protocol.JobCancelled, "wk-3")
+		expectStatus(t, cluster, protocol.JobDone, ids...)
+		expectStatus(t, cluster, protocol.JobCancelled, "wk-3")
 	}
 }
 
@@ -55,23 +57,25 @@
 func TestControllerIsolatedWithItsMachines(t *testing.T) {
 	for i, who := range []func(*Cluster) []string{leaderOnly, largestOwnerOnly} {
 		for k, length := range []float64{3, 20, 60} {
-			s := NewCluster(uint64(1360 + 10*i + k))
-			s.ServeAPI()
-			s.histories.FaultsOver = time.Duration((11 + length) * float64(time.Second))
-			s.monitorWaitingJobs()
-			submitStandardLoad(s)
-			ids := append(submitBurst(s, 14, 4, 6, 4), "wk-1", "wk-2", "wk-5")
-			s.At(11, func() { s.after(time.Duration(length*float64(time.Second)), s.IsolateController(who(s)[0])) })
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 90, nil))
-			s.Submit(16, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
-			s.Cancel(12.5, "wk-4")
-			s.Start()
-			s.Run(200)
-			for _, b := range append(s.Violations, s.ServiceLevelViolations()...) {
-				t.Errorf("alone for %v s (%d): %s", length, i, b)
+			cluster := NewCluster(uint64(1360 + 10*i + k))
+			cluster.ServeAPI()
+			cluster.histories.FaultsOver = time.Duration((11 + length) * float64(time.Second))
+			cluster.monitorWaitingJobs()
+			submitStandardLoad(cluster)
+			ids := append(submitBurst(cluster, 14, 4, 6, 4), "wk-1", "wk-2", "wk-5")
+			cluster.At(11, func() {
+				cluster.after(time.Duration(length*float64(time.Second)), cluster.IsolateController(who(cluster)[0]))
+			})
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 90, nil))
+			cluster.Submit(16, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
+			cluster.Cancel(12.5, "wk-4")
+			cluster.Start()
+			cluster.Run(200)
+			for _, violation := range append(cluster.Violations, cluster.ServiceLevelViolations()...) {
+				t.Errorf("alone for %v s (%d): %s", length, i, violation)
 			}
-			expectStatus(t, s, protocol.JobDone, ids...)
-			expectStatus(t, s, protocol.JobCancelled, "wk-3", "wk-4")
+			expectStatus(t, cluster, protocol.JobDone, ids...)
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-3", "wk-4")
 		}
 	}
 }
--- a/internal/simulator/live.go
+++ b/internal/simulator/live.go
@@ -31,31 +31,31 @@
 
 // NewLiveNetwork starts the clock of an empty network; Run plays it.
 func NewLiveNetwork(seed uint64) (*Network, *LiveNetwork) {
-	n := newNetwork(seed)
-	l := &LiveNetwork{net: n, start: time.Now(), queue: make(chan func(), 4096), done: make(chan struct{}), servers: map[string]*fasthttp.Server{},
+	network := newNetwork(seed)
+	live := &LiveNetwork{net: network, start: time.Now(), queue: make(chan func(), 4096), done: make(chan struct{}), servers: map[string]*fasthttp.Server{},
 		client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 1 << 14, NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
 			Dial: func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, time.Second) }}}
-	n.live = l
-	return n, l
+	network.live = live
+	return network, live
 }
 
 // Run plays until ctx ends, then closes all sockets.
 func (l *LiveNetwork) Run(ctx context.Context) {
-	n := l.net
+	network := l.net
 	timer := time.NewTimer(0)
 	for {
-		n.now = time.Since(l.start)
-		for len(n.queue) > 0 && n.queue[0].at <= n.now {
-			heap.Pop(&n.queue).(event).run()
+		network.now = time.Since(l.start)
+		for len(network.queue) > 0 && network.queue[0].at <= network.now {
+			heap.Pop(&network.queue).(event).run()
 		}
 		wait := time.Second
-		if len(n.queue) > 0 {
-			wait = max(0, n.queue[0].at-time.Since(l.start))
+		if len(network.queue) > 0 {
+			wait = max(0, network.queue[0].at-time.Since(l.start))
 		}
 		timer.Reset(wait)
 		select {
 		case f := <-l.queue:
-			n.now = time.Since(l.start)
+			network.now = time.Since(l.start)
 			f()
 		case <-timer.C:
 		case <-ctx.Done():
@@ -192,35 +192,35 @@
 // controller, with real addresses, and machines that are up. The controllers
 // themselves are processes of their own.
 func (l *LiveNetwork) AddCluster(name string, p []settings.Platform, machines int, left int) *Cluster {
-	n := l.net
-	var s *Cluster
+	network := l.net
+	var cluster *Cluster
 	l.Do(func() {
-		s = n.newCluster(name)
+		cluster = network.newCluster(name)
 		for i := range p {
-			s.controllerNames = append(s.controllerNames, p[i].Name)
-			s.Controllers[p[i].Name] = &ControllerProcess{cluster: s, name: p[i].Name, settings: &settings.Settings{Platform: p[i], Operators: settings.Defaults()}}
+			cluster.controllerNames = append(cluster.controllerNames, p[i].Name)
+			cluster.Controllers[p[i].Name] = &ControllerProcess{cluster: cluster, name: p[i].Name, settings: &settings.Settings{Platform: p[i], Operators: settings.Defaults()}}
 		}
-		s.Settings = s.Controllers[s.controllerNames[0]].settings
-		s.State, s.Cloud = newStateService(s), newCloud(s)
-		zones := s.Settings.Deployment.Zones
-		for i := range s.Cloud.Types {
-			s.Cloud.Types[i].Zones = zones
+		cluster.Settings = cluster.Controllers[cluster.controllerNames[0]].settings
+		cluster.State, cluster.Cloud = newStateService(cluster), newCloud(cluster)
+		zones := cluster.Settings.Deployment.Zones
+		for i := range cluster.Cloud.Types {
+			cluster.Cloud.Types[i].Zones = zones
 		}
 		for i := 0; i < machines; i++ {
 			typ := "small"
 			if i%4 == 3 {
 				typ = "big"
 			}
-			s.AddMachine(typ, zones[i%len(zones)], false)
+			cluster.AddMachine(typ, zones[i%len(zones)], false)
 		}
-		for _, t := range s.Cloud.Types {
-			for _, z := range zones {
-				s.Cloud.Capacity[fmt.Sprintf("%s/%s/false", t.Name, z)] = left
-				s.Cloud.Capacity[fmt.Sprintf("%s/%s/true", t.Name, z)] = left
+		for _, t := range cluster.Cloud.Types {
+			for _, zone := range zones {
+				cluster.Cloud.Capacity[fmt.Sprintf("%s/%s/false", t.Name, zone)] = left
+				cluster.Cloud.Capacity[fmt.Sprintf("%s/%s/true", t.Name, zone)] = left
 			}
 		}
 	})
-	return s
+	return cluster
 }
 
 // LoadBalancer is what users of a cluster speak to: it gives each request to a
@@ -237,10 +237,10 @@
 }
 
 // StartLoadBalancer starts it.
-func (l *LiveNetwork) StartLoadBalancer(s *Cluster) (*LoadBalancer, error) {
-	f := &LoadBalancer{live: l, cluster: s, failedProbes: map[string]int{}}
-	for _, n := range s.controllerNames {
-		f.addresses = append(f.addresses, s.apiAddress(n))
+func (l *LiveNetwork) StartLoadBalancer(cluster *Cluster) (*LoadBalancer, error) {
+	f := &LoadBalancer{live: l, cluster: cluster, failedProbes: map[string]int{}}
+	for _, name := range cluster.controllerNames {
+		f.addresses = append(f.addresses, cluster.apiAddress(name))
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/simulator/lost_answers_test.go
+++ b/internal/simulator/lost_answers_test.go
@@ -17,22 +17,22 @@
 	met := map[string]int{}
 	for k, kind := range writes {
 		for seed := uint64(2100); seed < 2103; seed++ {
-			s := newMonitoredCluster(seed+10*uint64(k), 60)
-			w := addMachines(s, 6, 0)
-			s.Cloud.Capacity["small/a/false"] = 3
-			lost := s.delayWritesFor(7, 45, 0.7, 0.001, 0.003, kind.is)
-			s.pollEveryController(rand.New(rand.NewPCG(seed, 5)), 0.2)
-			s.makePartsUneven()
-			s.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
-			s.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}})                       // signs of life
-			s.refuseControllersFor(11, 17, largestOwnerOnly)
-			s.At(14, func() { w[5].Die() })
-			s.restartQuickly(22, 0.5, s.nonLeaderOwner)
-			s.restartQuickly(28, 4, s.leaderProcess)
-			s.Start()
-			s.Run(260)
+			cluster := newMonitoredCluster(seed+10*uint64(k), 60)
+			machines := addMachines(cluster, 6, 0)
+			cluster.Cloud.Capacity["small/a/false"] = 3
+			lost := cluster.delayWritesFor(7, 45, 0.7, 0.001, 0.003, kind.is)
+			cluster.pollEveryController(rand.New(rand.NewPCG(seed, 5)), 0.2)
+			cluster.makePartsUneven()
+			cluster.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
+			cluster.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}})                       // signs of life
+			cluster.refuseControllersFor(11, 17, largestOwnerOnly)
+			cluster.At(14, func() { machines[5].Die() })
+			cluster.restartQuickly(22, 0.5, cluster.nonLeaderOwner)
+			cluster.restartQuickly(28, 4, cluster.leaderProcess)
+			cluster.Start()
+			cluster.Run(260)
 			met[kind.name] += *lost
-			for _, wrong := range s.checkDay(false) {
+			for _, wrong := range cluster.checkDay(false) {
 				t.Errorf("%s, seed %d: %s", kind.name, seed, wrong)
 			}
 		}
--- a/internal/simulator/money_test.go
+++ b/internal/simulator/money_test.go
@@ -10,36 +10,36 @@
 // What controllers say a day cost, by cause, is what the cloud would charge for the
 // machines that were there: each second of each machine once, whoever owned it.
 func TestRentalCostByCause(t *testing.T) {
-	s := NewCluster(71)
-	s.ServeAPI()
-	addMachines(s, 6, 0)
-	s.Cloud.Capacity["small/a/true"] = 3
-	s.Submit(10, NewSubmission("wk-1", protocol.ShapeArray, 60, 1, 12, nil))
-	s.Submit(12, NewSubmission("wk-2", protocol.ShapeGang, 2, 4, 15, nil))
-	s.Start()
+	cluster := NewCluster(71)
+	cluster.ServeAPI()
+	addMachines(cluster, 6, 0)
+	cluster.Cloud.Capacity["small/a/true"] = 3
+	cluster.Submit(10, NewSubmission("wk-1", protocol.ShapeArray, 60, 1, 12, nil))
+	cluster.Submit(12, NewSubmission("wk-2", protocol.ShapeGang, 2, 4, 15, nil))
+	cluster.Start()
 	charged := 0.0
 	var each func()
 	each = func() { // ten times a second
-		for _, w := range s.Machines {
-			if !w.deleted {
-				charged += w.machineType.HourlyPrice(w.spot) / 36000
+		for _, machine := range cluster.Machines {
+			if !machine.deleted {
+				charged += machine.machineType.HourlyPrice(machine.spot) / 36000
 			}
 		}
-		s.after(100e6, each)
+		cluster.after(100e6, each)
 	}
-	s.At(5, each)
+	cluster.At(5, each)
 	spent := func() shard.CostByCause {
 		sum := shard.CostByCause{}
-		for _, n := range s.runningControllers() {
-			for cause, v := range s.Controllers[n].Controller.DebugState().Spent {
+		for _, name := range cluster.runningControllers() {
+			for cause, v := range cluster.Controllers[name].Controller.DebugState().Spent {
 				sum[cause] += v
 			}
 		}
 		return sum
 	}
 	before := shard.CostByCause{}
-	s.At(5, func() { before = spent() })
-	s.Run(90)
+	cluster.At(5, func() { before = spent() })
+	cluster.Run(90)
 	total, by := 0.0, spent()
 	for cause, v := range by {
 		by[cause] = v - before[cause]
@@ -57,7 +57,7 @@
 	// machines of four: some on spot machines, and seen a report late.
 	worth := (60*12 + 8*13.5) / 4 / 3600
 	var small protocol.MachineType
-	for _, m := range s.Cloud.Types {
+	for _, m := range cluster.Cloud.Types {
 		if m.Name == "small" {
 			small = m
 		}
