--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -167,26 +167,26 @@
 
 // newCluster adds a cluster with nothing in it.
 func (n *Network) newCluster(name string) *Cluster {
-	s := &Cluster{Network: n, Name: name, Controllers: map[string]*ControllerProcess{}, Machines: map[string]*Machine{}, jobs: map[string]*protocol.Job{},
+	cluster := &Cluster{Network: n, Name: name, Controllers: map[string]*ControllerProcess{}, Machines: map[string]*Machine{}, jobs: map[string]*protocol.Job{},
 		cancelledAt: map[string]time.Duration{}, reportedStatus: map[string]protocol.JobStatus{}, failedSubmissions: map[string]int{}, endReportedAt: map[string]time.Duration{}, submissions: map[string]*protocol.Submission{}, histories: &JobHistories{}}
-	n.clusters[name] = s
-	return s
+	n.clusters[name] = cluster
+	return cluster
 }
 
 // addCluster adds a cluster with its state service and cloud.
 func (n *Network) addCluster(name string, nodes int) *Cluster {
-	s := n.newCluster(name)
+	cluster := n.newCluster(name)
 	for i := 0; i < nodes; i++ {
-		s.controllerNames = append(s.controllerNames, fmt.Sprintf("n%d", i))
+		cluster.controllerNames = append(cluster.controllerNames, fmt.Sprintf("n%d", i))
 	}
-	for i, name := range s.controllerNames {
-		p := settings.Platform{Name: name, Zone: []string{"a", "b"}[i%2], API: s.address("api-" + name), Mesh: s.address(name)}
-		for k, m := range s.controllerNames {
+	for i, name := range cluster.controllerNames {
+		p := settings.Platform{Name: name, Zone: []string{"a", "b"}[i%2], API: cluster.address("api-" + name), Mesh: cluster.address(name)}
+		for k, m := range cluster.controllerNames {
 			if m != name {
-				p.Members = append(p.Members, settings.Member{Name: m, Zone: []string{"a", "b"}[k%2], Address: s.address(m)})
+				p.Members = append(p.Members, settings.Member{Name: m, Zone: []string{"a", "b"}[k%2], Address: cluster.address(m)})
 			}
 		}
-		p.Services.State, p.Services.Cloud = s.address("state"), s.address("cloud")
+		p.Services.State, p.Services.Cloud = cluster.address("state"), cluster.address("cloud")
 		d := &p.Deployment
 		d.Zones = []string{"a", "b"}
 		d.Teams = []settings.Team{{Name: "red"}, {Name: "blue", CoresMax: 3}, {Name: "green", Cores: 4, GPUs: 4, GPUsMax: 4}}
@@ -194,16 +194,16 @@
 		d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 200, 80, 16, 12
 		d.Cloud.RPS, d.Cloud.ListLag = 4, 5
 		d.Limits.CoreShare, d.Limits.RAM, d.Limits.Sockets = 0.2, 100, 500
-		h := &ControllerProcess{cluster: s, name: name, settings: &settings.Settings{Platform: p, Operators: settings.Defaults()}}
-		s.Controllers[name] = h
-		s.controllers[p.API], s.controllers[p.Mesh] = h, h
-		if s.Settings == nil {
-			s.Settings = h.settings
+		process := &ControllerProcess{cluster: cluster, name: name, settings: &settings.Settings{Platform: p, Operators: settings.Defaults()}}
+		cluster.Controllers[name] = process
+		cluster.controllers[p.API], cluster.controllers[p.Mesh] = process, process
+		if cluster.Settings == nil {
+			cluster.Settings = process.settings
 		}
 	}
-	s.State = newStateService(s)
-	s.Cloud = newCloud(s)
-	return s
+	cluster.State = newStateService(cluster)
+	cluster.Cloud = newCloud(cluster)
+	return cluster
 }
 
 // Start starts all controllers.
@@ -233,7 +233,7 @@
 	heap.Push(&n.queue, event{t, n.eventCount, f})
 }
 
-func (n *Network) after(d time.Duration, f func()) { n.schedule(n.now+max(d, 0), f) }
+func (n *Network) after(duration time.Duration, f func()) { n.schedule(n.now+max(duration, 0), f) }
 
 // At does something at a time given in seconds.
 func (n *Network) At(sec float64, f func()) { n.schedule(time.Duration(sec*float64(time.Second)), f) }
@@ -265,12 +265,12 @@
 }
 
 func (n *Network) healLink(a, b string) {
-	for _, k := range []string{a + "|" + b, b + "|" + a} {
-		delete(n.cuts, k)
-		for _, f := range n.heldMessages[k] {
+	for _, key := range []string{a + "|" + b, b + "|" + a} {
+		delete(n.cuts, key)
+		for _, f := range n.heldMessages[key] {
 			n.after(n.latency(), f)
 		}
-		delete(n.heldMessages, k)
+		delete(n.heldMessages, key)
 	}
 }
 
@@ -310,8 +310,8 @@
 			outside = append(outside, hosts...)
 		}
 	}
-	for _, n := range c.controllerNames {
-		place(c.Controllers[n].settings.Zone, c.address(n), c.address("api-"+n))
+	for _, name := range c.controllerNames {
+		place(c.Controllers[name].settings.Zone, c.address(name), c.address("api-"+name))
 	}
 	for _, id := range c.machineIDs() {
 		place(c.Machines[id].zone, c.Machines[id].address)
@@ -346,22 +346,22 @@
 	if n.inboundPartitioned[to] {
 		return
 	}
-	if k := from + "|" + to; n.cuts[k] {
-		n.heldMessages[k] = append(n.heldMessages[k], f)
+	if key := from + "|" + to; n.cuts[key] {
+		n.heldMessages[key] = append(n.heldMessages[key], f)
 		return
 	}
-	h, takes := n.controllers[from], n.latency()
+	process, takes := n.controllers[from], n.latency()
 	if n.ExtraLatency != nil {
 		takes += n.ExtraLatency(from, to)
 	}
-	if h == nil {
+	if process == nil {
 		n.after(takes, f)
 		return
 	}
-	life := h.incarnation
+	life := process.incarnation
 	n.after(takes, func() {
-		if h.paused && h.holdsOutgoing { // it had not left the process yet
-			h.deferred = append(h.deferred, func() { h.execute(life, f) })
+		if process.paused && process.holdsOutgoing { // it had not left the process yet
+			process.deferred = append(process.deferred, func() { process.execute(life, f) })
 			return
 		}
 		f()
@@ -432,16 +432,16 @@
 		srv(method, path, body, answered)
 	}
 	for _, late := range n.DelayedRequests {
-		if d, ok := late(from, path, body); ok {
+		if duration, ok := late(from, path, body); ok {
 			mute = true
-			n.after(d, arrive)
+			n.after(duration, arrive)
 			return
 		}
 	}
 	n.deliver(from, to, arrive)
 	if n.DuplicateReports != nil && path == "/v1/report" {
-		for _, d := range n.DuplicateReports() {
-			n.after(d, func() {
+		for _, duration := range n.DuplicateReports() {
+			n.after(duration, func() {
 				if srv := n.handlers[to]; srv != nil {
 					srv(method, path, body, func(int, any) {})
 				}
@@ -449,8 +449,8 @@
 		}
 	}
 	if n.DuplicateRequest != nil {
-		if d := n.DuplicateRequest(to); d > 0 {
-			n.after(d, arrive)
+		if duration := n.DuplicateRequest(to); duration > 0 {
+			n.after(duration, arrive)
 		}
 	}
 }
@@ -502,14 +502,14 @@
 // goes on, all that came meanwhile (answers, requests, timers) is there at
 // once, in no order. holds: so is what it was just sending; otherwise that has
 // left before.
-func (p *ControllerProcess) Pause(d time.Duration, holds bool) {
+func (p *ControllerProcess) Pause(duration time.Duration, holds bool) {
 	if p.paused || !p.running {
 		return
 	}
 	p.cluster.Trace("%s stands still", p.cluster.address(p.name))
 	p.paused, p.holdsOutgoing = true, holds
 	life := p.incarnation
-	p.cluster.after(d, func() {
+	p.cluster.after(duration, func() {
 		if !p.running || p.incarnation != life {
 			return
 		}
@@ -548,10 +548,10 @@
 	return time.Unix(1_700_000_000, 0).Add(e.process.cluster.now + time.Duration(e.process.ClockOffset*float64(time.Second)))
 }
 func (e *controllerEnvironment) Rand() *rand.Rand { return e.process.cluster.random }
-func (e *controllerEnvironment) After(d time.Duration, f func()) {
+func (e *controllerEnvironment) After(duration time.Duration, f func()) {
 	// Rounded up: what waits for a moment of its own clock must not find that
 	// it is still to come, again and again.
-	e.process.cluster.after(time.Duration(math.Ceil(float64(d)/orOne(e.process.ClockRate))), func() { e.process.execute(e.incarnation, f) })
+	e.process.cluster.after(time.Duration(math.Ceil(float64(duration)/orOne(e.process.ClockRate))), func() { e.process.execute(e.incarnation, f) })
 }
 
 func (e *controllerEnvironment) Call(addr, method, path string, in, out any, timeout time.Duration, done func(int)) {
@@ -569,15 +569,15 @@
 	if err != nil {
 		panic(err)
 	}
-	s := w.process.cluster
-	s.notifyTraffic(s.address(w.process.name), s.address(member), "peer", "", 0, b)
-	if s.cuts[s.address(w.process.name)+"|"+s.address(member)] {
+	cluster := w.process.cluster
+	cluster.notifyTraffic(cluster.address(w.process.name), cluster.address(member), "peer", "", 0, b)
+	if cluster.cuts[cluster.address(w.process.name)+"|"+cluster.address(member)] {
 		return // a mesh connection gives up after a while
 	}
-	s.after(s.latency(), func() {
-		to := s.Controllers[member]
+	cluster.after(cluster.latency(), func() {
+		to := cluster.Controllers[member]
 		c := &peermsg.Envelope{}
-		if proto.Unmarshal(b, c) == nil && !(s.DropCancellationNotices && c.GetJobNotice().GetCancelled()) {
+		if proto.Unmarshal(b, c) == nil && !(cluster.DropCancellationNotices && c.GetJobNotice().GetCancelled()) {
 			to.execute(to.incarnation, func() { to.Controller.HandlePeerMessage(c) })
 		}
 	})
@@ -586,9 +586,9 @@
 // runningControllers lists the nodes that are up.
 func (c *Cluster) runningControllers() []string {
 	var out []string
-	for n, h := range c.Controllers {
-		if h.running {
-			out = append(out, n)
+	for name, process := range c.Controllers {
+		if process.running {
+			out = append(out, name)
 		}
 	}
 	sort.Strings(out)
--- a/internal/simulator/overflow_bench_test.go
+++ b/internal/simulator/overflow_bench_test.go
@@ -27,13 +27,13 @@
 					lent := 0
 					for seed := uint64(1); seed <= 3; seed++ {
 						day := overflowDay(seed, load, on)
-						for i, s := range day {
-							x, n := inTime(s, 45)
+						for i, cluster := range day {
+							x, n := inTime(cluster, 45)
 							in[i], all[i] = in[i]+x, all[i]+n
-							asked[i] += float64(s.State.requestLimit.Used) / 600 / 3
-							changed[i] += float64(s.State.writeLimit.Used) / 600 / 3
-							if len(s.Violations) > 0 {
-								b.Fatal(s.Violations[0])
+							asked[i] += float64(cluster.State.requestLimit.Used) / 600 / 3
+							changed[i] += float64(cluster.State.writeLimit.Used) / 600 / 3
+							if len(cluster.Violations) > 0 {
+								b.Fatal(cluster.Violations[0])
 							}
 						}
 						lent += strings.Count(day[0].TraceText(), "starts wk-at.west.")
@@ -51,40 +51,40 @@
 }
 
 func overflowDay(seed uint64, load float64, on bool) [2]*Cluster {
-	w, e := NewFederation(seed, 3)
+	west, east := NewFederation(seed, 3)
 	if !on {
-		for _, s := range []*Cluster{w, e} {
-			for _, n := range s.controllerNames {
-				s.Controllers[n].settings.Federation = nil
+		for _, cluster := range []*Cluster{west, east} {
+			for _, name := range cluster.controllerNames {
+				cluster.Controllers[name].settings.Federation = nil
 			}
 		}
 	}
-	addMachines(w, 4, 0)
-	addMachines(e, 8, 0)
-	arrive := func(s *Cluster, cores, load float64) {
+	addMachines(west, 4, 0)
+	addMachines(east, 8, 0)
+	arrive := func(cluster *Cluster, cores, load float64) {
 		// Arrays of 12 tasks of a core for 10 s.
 		for at, i := 8.0, 0; at < 540; i++ {
-			s.Submit(at, NewSubmission(fmt.Sprintf("wk-%s-%d", s.Name, i), protocol.ShapeArray, 12, 1, 10, func(x *protocol.Submission) { due := 45.0; x.Deadline = &due }))
-			at += w.random.ExpFloat64() * 120 / (cores * load)
+			cluster.Submit(at, NewSubmission(fmt.Sprintf("wk-%s-%d", cluster.Name, i), protocol.ShapeArray, 12, 1, 10, func(submission *protocol.Submission) { due := 45.0; submission.Deadline = &due }))
+			at += west.random.ExpFloat64() * 120 / (cores * load)
 		}
 	}
-	arrive(w, 16, load)
-	arrive(e, 32, 1.0/3)
-	w.Start()
-	e.Start()
-	w.Run(600)
-	return [2]*Cluster{w, e}
+	arrive(west, 16, load)
+	arrive(east, 32, 1.0/3)
+	west.Start()
+	east.Start()
+	west.Run(600)
+	return [2]*Cluster{west, east}
 }
 
 // inTime counts a cluster's jobs that were submitted in time to be judged, and
 // of them those whose users were told within the limit (and 3 s) that they are
 // done.
-func inTime(s *Cluster, limit float64) (in, all int) {
+func inTime(cluster *Cluster, limit float64) (in, all int) {
 	began := map[string]float64{}
-	for _, line := range strings.Split(s.TraceText(), "\n") {
+	for _, line := range strings.Split(cluster.TraceText(), "\n") {
 		f := strings.Fields(line)
 		var at float64
-		if len(f) < 3 || !strings.HasPrefix(f[1], "wk-"+s.Name+"-") {
+		if len(f) < 3 || !strings.HasPrefix(f[1], "wk-"+cluster.Name+"-") {
 			continue
 		}
 		fmt.Sscan(f[0], &at)
--- a/internal/simulator/partners.go
+++ b/internal/simulator/partners.go
@@ -16,34 +16,34 @@
 // NewFederation makes two clusters, west and east, in one world; each may lend to
 // the other.
 func NewFederation(seed uint64, nodes int) (west, east *Cluster) {
-	n := newNetwork(seed)
-	west, east = n.addCluster("west", nodes), n.addCluster("east", nodes)
-	for _, s := range []*Cluster{west, east} {
+	network := newNetwork(seed)
+	west, east = network.addCluster("west", nodes), network.addCluster("east", nodes)
+	for _, cluster := range []*Cluster{west, east} {
 		other := east
-		if s == east {
+		if cluster == east {
 			other = west
 		}
-		for _, name := range s.controllerNames {
-			h := s.Controllers[name]
-			f := &settings.Federation{Cluster: s.Name, Listen: s.address("fed-" + name)}
+		for _, name := range cluster.controllerNames {
+			process := cluster.Controllers[name]
+			f := &settings.Federation{Cluster: cluster.Name, Listen: cluster.address("fed-" + name)}
 			p := settings.Partner{Name: other.Name, Classes: []string{"*"}, Lends: 0.8, Ratio: 2, Lease: 14 * time.Second}
-			p.Term = remotelease.MaxTerm(time.Duration(s.Settings.Deployment.Workers.Cancel)*time.Second, p.Lease, settings.Drift)
+			p.Term = remotelease.MaxTerm(time.Duration(cluster.Settings.Deployment.Workers.Cancel)*time.Second, p.Lease, settings.Drift)
 			for _, o := range other.controllerNames {
 				p.Addresses = append(p.Addresses, other.address("fed-"+o))
 			}
 			f.Partners = []settings.Partner{p}
-			h.settings.Federation = f
-			h.settings.Dispatch.ChunksPerPart, h.settings.Rent.OwnIdleBoots = 2, 100
-			n.controllers[f.Listen] = h
-			n.handlers[f.Listen] = func(_, path string, body []byte, reply func(int, any)) {
+			process.settings.Federation = f
+			process.settings.Dispatch.ChunksPerPart, process.settings.Rent.OwnIdleBoots = 2, 100
+			network.controllers[f.Listen] = process
+			network.handlers[f.Listen] = func(_, path string, body []byte, reply func(int, any)) {
 				// The caller's certificate names it; here the path does.
 				from, rest, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-				h.execute(h.incarnation, func() {
-					h.Controller.HandlePartnerRequest(from, "/"+rest, body, func(status int, b any, _ int) { reply(status, b) })
+				process.execute(process.incarnation, func() {
+					process.Controller.HandlePartnerRequest(from, "/"+rest, body, func(status int, b any, _ int) { reply(status, b) })
 				})
 			}
 		}
-		s.ServeAPI()
+		cluster.ServeAPI()
 	}
 	return west, east
 }
@@ -56,8 +56,8 @@
 // jobByID is a job's description, which machines fetch by themselves: for a
 // borrowed one its home's, from the loan's first task on.
 func (c *Cluster) jobByID(id string) *protocol.Job {
-	if j := c.jobs[id]; j != nil {
-		return j
+	if job := c.jobs[id]; job != nil {
+		return job
 	}
 	home, k, ok := remotelease.ParseJobID(id)
 	if !ok || c.clusters[home] == nil || c.clusters[home].jobs[k.Job] == nil {
@@ -80,12 +80,12 @@
 }
 
 // forEachAttempt calls f for every task on any machine of any cluster, in a fixed order.
-func (n *Network) forEachAttempt(f func(w *Machine, t *attempt)) {
+func (n *Network) forEachAttempt(f func(machine *Machine, t *attempt)) {
 	for _, name := range slices.Sorted(maps.Keys(n.clusters)) {
-		s := n.clusters[name]
-		for _, id := range s.machineIDs() {
-			for _, t := range s.Machines[id].attempts {
-				f(s.Machines[id], t)
+		cluster := n.clusters[name]
+		for _, id := range cluster.machineIDs() {
+			for _, t := range cluster.Machines[id].attempts {
+				f(cluster.Machines[id], t)
 			}
 		}
 	}
@@ -111,8 +111,8 @@
 	}
 	n.Trace("cut %s %s %s", a.Name, word, b.Name)
 	ways := linksBetween(a, b)
-	for _, p := range ways {
-		for _, k := range [][2]string{p, {p[1], p[0]}} {
+	for _, pair := range ways {
+		for _, k := range [][2]string{pair, {pair[1], pair[0]}} {
 			if !oneWay || strings.HasPrefix(k[0], a.Name+".") {
 				n.cuts[k[0]+"|"+k[1]] = true
 			}
@@ -120,8 +120,8 @@
 	}
 	return func() {
 		n.Trace("heal %s %s %s", a.Name, word, b.Name)
-		for _, p := range ways {
-			n.healLink(p[0], p[1])
+		for _, pair := range ways {
+			n.healLink(pair[0], pair[1])
 		}
 	}
 }
@@ -144,8 +144,8 @@
 // LeaderName is the name of the controller that leads; "" if none knows.
 func (c *Cluster) LeaderName() string {
 	for _, name := range c.runningControllers() {
-		if l := c.Controllers[name].Controller.DebugState().Leader; l != "" {
-			return l
+		if line := c.Controllers[name].Controller.DebugState().Leader; line != "" {
+			return line
 		}
 	}
 	return ""
--- a/internal/simulator/pipeline_test.go
+++ b/internal/simulator/pipeline_test.go
@@ -20,9 +20,9 @@
 	c.submitOnceAccepted(at+0.2, NewSubmission(left, protocol.ShapeArray, 6, 1, 4, DependsOn(first)))
 	c.submitOnceAccepted(at+0.3, NewSubmission(right, protocol.ShapeArray, 3, 1, 8, DependsOn(first)))
 	c.submitOnceAccepted(at+0.5, NewSubmission(join, protocol.ShapeGang, 2, 2, 5, DependsOn(left, right)))
-	c.submitOnceAccepted(at+0.7, NewSubmission(last, protocol.ShapeArray, 2, 1, 3, func(x *protocol.Submission) {
-		DependsOn(join)(x)
-		x.Priority, x.Deadline = stringPointer("high"), &due
+	c.submitOnceAccepted(at+0.7, NewSubmission(last, protocol.ShapeArray, 2, 1, 3, func(submission *protocol.Submission) {
+		DependsOn(join)(submission)
+		submission.Priority, submission.Deadline = stringPointer("high"), &due
 	}))
 	return []string{first, left, right, join, last}
 }
@@ -30,98 +30,98 @@
 // Jobs that need others, each day short enough to be read.
 func TestDependencyScenarios(t *testing.T) {
 	runScenarios(t, "pipeline-", 3100, 160, 60, nil, []scenario{
-		{"diamond", func(s *Cluster, w []*Machine) []string { return s.submitPipeline(8, "wk-p") }, nil},
+		{"diamond", func(cluster *Cluster, machines []*Machine) []string { return cluster.submitPipeline(8, "wk-p") }, nil},
 		// The last stage comes when the others are over; another when they are long over.
-		{"last-stage-late", func(s *Cluster, w []*Machine) []string {
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, nil))
-			s.Submit(25, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
-			s.Submit(80, NewSubmission("wk-6", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4", "wk-5", "wk-4")))
+		{"last-stage-late", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, nil))
+			cluster.Submit(25, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
+			cluster.Submit(80, NewSubmission("wk-6", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4", "wk-5", "wk-4")))
 			return []string{"wk-4", "wk-5", "wk-6"}
 		}, nil},
 		// The first stage is cancelled while it runs; a stage that needs one of those that go
 		// with it is submitted later, and goes at once.
-		{"cancelled-root", func(s *Cluster, w []*Machine) []string {
-			s.submitPipeline(8, "wk-p")
-			s.Cancel(10, "wk-p-first")
-			s.Submit(40, NewSubmission("wk-p-late", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last")))
+		{"cancelled-root", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.submitPipeline(8, "wk-p")
+			cluster.Cancel(10, "wk-p-first")
+			cluster.Submit(40, NewSubmission("wk-p-late", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last")))
 			return nil
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			expectStatus(t, s, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last", "wk-p-late")
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last", "wk-p-late")
 		}},
 		// What is done stays done: an abort that is answered so lets the rest go on.
-		{"cancelled-too-late", func(s *Cluster, w []*Machine) []string {
-			ids := s.submitPipeline(8, "wk-p")
-			s.Cancel(24, "wk-p-first")
+		{"cancelled-too-late", func(cluster *Cluster, machines []*Machine) []string {
+			ids := cluster.submitPipeline(8, "wk-p")
+			cluster.Cancel(24, "wk-p-first")
 			return ids
 		}, nil},
 		// The leader ends as the first stage does; all end as the second does.
-		{"leaders-end-at-the-release", func(s *Cluster, w []*Machine) []string {
+		{"leaders-end-at-the-release", func(cluster *Cluster, machines []*Machine) []string {
 			ended := 0
-			s.OnJobCompleted = func(id string) {
+			cluster.OnJobCompleted = func(id string) {
 				switch ended++; id {
 				case "wk-p-first":
-					s.restartQuickly(s.now.Seconds()+0.01, 6, s.leaderProcess)
+					cluster.restartQuickly(cluster.now.Seconds()+0.01, 6, cluster.leaderProcess)
 				case "wk-p-left":
-					s.crashFor(s.now.Seconds()+0.01, s.now.Seconds()+2.5, s.controllerNames...)
+					cluster.crashFor(cluster.now.Seconds()+0.01, cluster.now.Seconds()+2.5, cluster.controllerNames...)
 				}
 			}
-			return s.submitPipeline(8, "wk-p")
+			return cluster.submitPipeline(8, "wk-p")
 		}, nil},
 		// The root is cancelled; a moment later the state service is down for longer than
 		// cancel_s, and one controller never hears of the cancellation.
-		{"cancelled-then-down", func(s *Cluster, w []*Machine) []string {
-			s.DropCancellationNotices = true
-			s.submitPipeline(8, "wk-p")
-			s.Cancel(11, "wk-p-first")
-			s.At(11.1, func() { s.State.StartOutage(45 * time.Second) })
+		{"cancelled-then-down", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.DropCancellationNotices = true
+			cluster.submitPipeline(8, "wk-p")
+			cluster.Cancel(11, "wk-p-first")
+			cluster.At(11.1, func() { cluster.State.StartOutage(45 * time.Second) })
 			return nil
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			expectStatus(t, s, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last")
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last")
 		}},
 		// A needed job fails on every machine: those that need it wait until its user gives up.
-		{"needed-job-fails-everywhere", func(s *Cluster, w []*Machine) []string {
-			s.FailingJobs = map[string]bool{"wk-4": true}
-			s.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 4, nil))
-			s.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
-			s.Cancel(50, "wk-4")
+		{"needed-job-fails-everywhere", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.FailingJobs = map[string]bool{"wk-4": true}
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 4, nil))
+			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
+			cluster.Cancel(50, "wk-4")
 			return nil
-		}, func(t *testing.T, s *Cluster, w []*Machine) {
-			expectStatus(t, s, protocol.JobCancelled, "wk-4", "wk-5")
+		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+			expectStatus(t, cluster, protocol.JobCancelled, "wk-4", "wk-5")
 		}},
 		// The zones are cut apart as the first stage ends: the second one's parts are in both.
-		{"zones-apart-at-the-release", func(s *Cluster, w []*Machine) []string {
-			s.At(18, func() { s.At(40, s.PartitionZone("b")) })
-			return s.submitPipeline(8, "wk-p")
+		{"zones-apart-at-the-release", func(cluster *Cluster, machines []*Machine) []string {
+			cluster.At(18, func() { cluster.At(40, cluster.PartitionZone("b")) })
+			return cluster.submitPipeline(8, "wk-p")
 		}, nil},
 	})
 }
 
 // pipelineTroubles are what a pipeline is to go through, from a moment on.
-var pipelineTroubles = map[string]func(s *Cluster, at float64){
+var pipelineTroubles = map[string]func(cluster *Cluster, at float64){
 	"none": func(*Cluster, float64) {},
-	"changes are told late": func(s *Cluster, at float64) {
-		s.DropCancellationNotices = true
-		s.delayResponsesFor("/changes", s.random, at-3, at+20, 2.5)
+	"changes are told late": func(cluster *Cluster, at float64) {
+		cluster.DropCancellationNotices = true
+		cluster.delayResponsesFor("/changes", cluster.random, at-3, at+20, 2.5)
 	},
-	"written late": func(s *Cluster, at float64) { s.delayRequestsFor(at-2, at+15, 0.5, 2, 12, "/multi") },
-	"answers lost": func(s *Cluster, at float64) { s.delayRequestsFor(at-2, at+15, 0.7, 0.001, 0.003, "/multi") },
-	"leaders end": func(s *Cluster, at float64) {
-		s.restartQuickly(at, 0.3, s.leaderProcess)
-		s.restartQuickly(at+1.5, 5, s.leaderProcess)
+	"written late": func(cluster *Cluster, at float64) { cluster.delayRequestsFor(at-2, at+15, 0.5, 2, 12, "/multi") },
+	"answers lost": func(cluster *Cluster, at float64) { cluster.delayRequestsFor(at-2, at+15, 0.7, 0.001, 0.003, "/multi") },
+	"leaders end": func(cluster *Cluster, at float64) {
+		cluster.restartQuickly(at, 0.3, cluster.leaderProcess)
+		cluster.restartQuickly(at+1.5, 5, cluster.leaderProcess)
 	},
 	// The leader is refused alone as well, and no controller hears of the cancellation from
 	// another. Users ask everywhere as the service comes back: cancel_s is over.
-	"down as the cancellation is confirmed": func(s *Cluster, at float64) {
-		s.DropCancellationNotices = true
-		s.refuseControllersFor(at-0.5, at+6, leaderOnly)
-		s.OnStatusReported = func(_ string, status protocol.JobStatus) {
-			if status != protocol.JobCancelled || s.State.Unavailable {
+	"down as the cancellation is confirmed": func(cluster *Cluster, at float64) {
+		cluster.DropCancellationNotices = true
+		cluster.refuseControllersFor(at-0.5, at+6, leaderOnly)
+		cluster.OnStatusReported = func(_ string, status protocol.JobStatus) {
+			if status != protocol.JobCancelled || cluster.State.Unavailable {
 				return
 			}
-			s.OnStatusReported = nil
-			s.State.StartOutage(40 * time.Second)
+			cluster.OnStatusReported = nil
+			cluster.State.StartOutage(40 * time.Second)
 			for k := range 60 {
-				s.after(39900*time.Millisecond+time.Duration(k)*20*time.Millisecond, func() { s.pollAllJobs(s.controllerNames[k%len(s.controllerNames)]) })
+				cluster.after(39900*time.Millisecond+time.Duration(k)*20*time.Millisecond, func() { cluster.pollAllJobs(cluster.controllerNames[k%len(cluster.controllerNames)]) })
 			}
 		}
 	},
@@ -139,26 +139,26 @@
 		for _, stage := range []string{"first", "left", "join", "last"} {
 			for at := 8.9; at < 42; at += 3.4 {
 				seed++
-				s := newMonitoredCluster(seed, 110)
-				addMachines(s, 6, 0)
-				ids := s.submitPipeline(8, "wk-p")
-				s.Cancel(at, "wk-p-"+stage)
-				s.submitOnceAccepted(at, NewSubmission("wk-p-more", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last", "wk-p-first")))
-				pipelineTroubles[trouble](s, at)
-				s.Start()
-				s.Run(200)
+				cluster := newMonitoredCluster(seed, 110)
+				addMachines(cluster, 6, 0)
+				ids := cluster.submitPipeline(8, "wk-p")
+				cluster.Cancel(at, "wk-p-"+stage)
+				cluster.submitOnceAccepted(at, NewSubmission("wk-p-more", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last", "wk-p-first")))
+				pipelineTroubles[trouble](cluster, at)
+				cluster.Start()
+				cluster.Run(200)
 				what := fmt.Sprintf("%s, %s is cancelled at %.1f (seed %d)", trouble, stage, at, seed)
-				for _, wrong := range s.checkDay(true) {
+				for _, wrong := range cluster.checkDay(true) {
 					t.Errorf("%s: %s", what, wrong)
 				}
 				for _, id := range append(ids, "wk-p-more") {
-					if s.ReportedStatus(id) == "" { // its user gave up in the outage, or that of one that it needs
+					if cluster.ReportedStatus(id) == "" { // its user gave up in the outage, or that of one that it needs
 						continue
 					}
-					if want := s.hasCancelledDependency(id, 0) || s.ReportedStatus("wk-p-"+stage) == protocol.JobCancelled && id == "wk-p-"+stage; want != (s.ReportedStatus(id) == protocol.JobCancelled) {
-						t.Errorf("%s: %s is %s", what, id, s.ReportedStatus(id))
+					if want := cluster.hasCancelledDependency(id, 0) || cluster.ReportedStatus("wk-p-"+stage) == protocol.JobCancelled && id == "wk-p-"+stage; want != (cluster.ReportedStatus(id) == protocol.JobCancelled) {
+						t.Errorf("%s: %s is %s", what, id, cluster.ReportedStatus(id))
 					}
-					ends[s.ReportedStatus(id)]++
+					ends[cluster.ReportedStatus(id)]++
 				}
 			}
 		}
@@ -179,42 +179,42 @@
 
 // submitRandomPipelines submits some pipelines of random form: each stage needs one to three of
 // those before it; some stages are cancelled, late, or need something that is long over.
-func (c *Cluster) submitRandomPipelines(r *rand.Rand) {
-	for p := range 2 + r.IntN(3) {
-		at := 5 + 25*r.Float64()
-		for i := range 3 + r.IntN(4) {
+func (c *Cluster) submitRandomPipelines(random *rand.Rand) {
+	for p := range 2 + random.IntN(3) {
+		at := 5 + 25*random.Float64()
+		for i := range 3 + random.IntN(4) {
 			id := fmt.Sprintf("wk-p%d-%d", p, i)
 			var needs []string
-			for range min(i, 1+r.IntN(3)) {
-				needs = append(needs, fmt.Sprintf("wk-p%d-%d", p, r.IntN(i)))
+			for range min(i, 1+random.IntN(3)) {
+				needs = append(needs, fmt.Sprintf("wk-p%d-%d", p, random.IntN(i)))
 			}
-			shape, tasks, due := protocol.ShapeArray, 1+r.IntN(5), 60+60*r.Float64()
-			if r.IntN(4) == 0 {
+			shape, tasks, due := protocol.ShapeArray, 1+random.IntN(5), 60+60*random.Float64()
+			if random.IntN(4) == 0 {
 				shape, tasks = protocol.ShapeGang, 2
 			}
-			c.submitOnceAccepted(at+0.1*float64(i), NewSubmission(id, shape, tasks, 1, 2+6*r.Float64(), func(x *protocol.Submission) {
-				x.Dependencies, x.Deadline = needs, &due
+			c.submitOnceAccepted(at+0.1*float64(i), NewSubmission(id, shape, tasks, 1, 2+6*random.Float64(), func(submission *protocol.Submission) {
+				submission.Dependencies, submission.Deadline = needs, &due
 			}))
-			if r.IntN(10) == 0 {
-				c.Cancel(at+30*r.Float64(), id)
+			if random.IntN(10) == 0 {
+				c.Cancel(at+30*random.Float64(), id)
 			}
-			if r.IntN(6) == 0 {
-				at += 30 * r.Float64()
+			if random.IntN(6) == 0 {
+				at += 30 * random.Float64()
 			}
 		}
 	}
 }
 
 // submitOnceAccepted submits as users do: as soon as those that it needs are accepted.
-func (c *Cluster) submitOnceAccepted(at float64, sub *protocol.Submission) {
+func (c *Cluster) submitOnceAccepted(at float64, submission *protocol.Submission) {
 	c.At(at, func() {
-		for _, need := range sub.Dependencies {
+		for _, need := range submission.Dependencies {
 			if c.reportedStatus[need] == "" {
-				c.submitOnceAccepted(c.now.Seconds()+0.1, sub)
+				c.submitOnceAccepted(c.now.Seconds()+0.1, submission)
 				return
 			}
 		}
-		c.trySubmit(sub, 0)
+		c.trySubmit(submission, 0)
 	})
 }
 
--- a/internal/simulator/random_failures_test.go
+++ b/internal/simulator/random_failures_test.go
@@ -13,171 +13,173 @@
 
 // unreachableMachines are the same for random days; see delayedMessages.
 var unreachableMachines = []fault{
-	{"called off as the leader is refused, then down for all", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		s.DropCancellationNotices = r.IntN(2) == 0
-		s.At(at, func() { // with half of the machines of each hung for a while, within its lease
+	{"called off as the leader is refused, then down for all", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		cluster.DropCancellationNotices = random.IntN(2) == 0
+		cluster.At(at, func() { // with half of the machines of each hung for a while, within its lease
 			for i := range 3 {
-				for _, x := range s.machinesWith(fmt.Sprintf("wk-%d", i+1)) {
-					if r.IntN(2) == 0 {
-						x.Hung = true
-						s.after(time.Duration((1+length)*r.Float64()*float64(time.Second)), func() { x.Hung = false })
+				for _, machine := range cluster.machinesWith(fmt.Sprintf("wk-%d", i+1)) {
+					if random.IntN(2) == 0 {
+						machine.Hung = true
+						cluster.after(time.Duration((1+length)*random.Float64()*float64(time.Second)), func() { machine.Hung = false })
 					}
 				}
-				s.requestCancellation(fmt.Sprintf("wk-%d", i+1))
+				cluster.requestCancellation(fmt.Sprintf("wk-%d", i+1))
 			}
-			n := s.leaderProcess().name
-			s.after(time.Duration(0.3*r.Float64()*float64(time.Second)), func() { s.SetRefusal(n, "state", true) })
-			s.after(time.Duration((0.5+length)*float64(time.Second)), func() { s.SetRefusal(n, "state", false) })
+			name := cluster.leaderProcess().name
+			cluster.after(time.Duration(0.3*random.Float64()*float64(time.Second)), func() { cluster.SetRefusal(name, "state", true) })
+			cluster.after(time.Duration((0.5+length)*float64(time.Second)), func() { cluster.SetRefusal(name, "state", false) })
 		})
-		s.At(at+0.4+r.Float64(), func() {
-			s.State.StartOutage(time.Duration((0.6 + 0.6*r.Float64()) * s.Settings.Deployment.Workers.Cancel * float64(time.Second)))
+		cluster.At(at+0.4+random.Float64(), func() {
+			cluster.State.StartOutage(time.Duration((0.6 + 0.6*random.Float64()) * cluster.Settings.Deployment.Workers.Cancel * float64(time.Second)))
 		})
 	}},
-	{"machines reach nobody", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
+	{"machines reach nobody", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		var some []*Machine
-		for _, x := range w {
-			if r.IntN(3) == 0 {
-				some = append(some, x)
+		for _, machine := range machines {
+			if random.IntN(3) == 0 {
+				some = append(some, machine)
 			}
 		}
-		s.partitionOutbound(at, at+(1+2*r.Float64())*length, some...)
+		cluster.partitionOutbound(at, at+(1+2*random.Float64())*length, some...)
 	}},
-	{"a team at its limit, owners that end, machines out of reach, a cancellation", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		blue := func(x *protocol.Submission) { x.Team = stringPointer("blue") }
+	{"a team at its limit, owners that end, machines out of reach, a cancellation", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		blue := func(submission *protocol.Submission) { submission.Team = stringPointer("blue") }
 		for i := range 3 {
-			s.Submit(at-3+float64(i), NewSubmission(fmt.Sprintf("wk-l%d", i), protocol.ShapeArray, 2+r.IntN(4), 1, 4+30*r.Float64(), blue))
+			cluster.Submit(at-3+float64(i), NewSubmission(fmt.Sprintf("wk-l%d", i), protocol.ShapeArray, 2+random.IntN(4), 1, 4+30*random.Float64(), blue))
 		}
-		for range 1 + r.IntN(3) {
-			s.cutLinksFor(at, at+3*length*r.Float64(), s.machineLinks(w[r.IntN(len(w))]))
+		for range 1 + random.IntN(3) {
+			cluster.cutLinksFor(at, at+3*length*random.Float64(), cluster.machineLinks(machines[random.IntN(len(machines))]))
 		}
-		for range 1 + r.IntN(3) {
-			s.restartQuickly(at+length*r.Float64(), 6*r.Float64(), func() *ControllerProcess { return s.Controllers[s.controllerNames[r.IntN(3)]] })
+		for range 1 + random.IntN(3) {
+			cluster.restartQuickly(at+length*random.Float64(), 6*random.Float64(), func() *ControllerProcess { return cluster.Controllers[cluster.controllerNames[random.IntN(3)]] })
 		}
-		s.Cancel(at+length*r.Float64(), fmt.Sprintf("wk-l%d", r.IntN(3)))
+		cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-l%d", random.IntN(3)))
 	}},
-	{"a zone is cut off with a controller, and jobs are cancelled", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		s.At(at, func() { s.At(at+4*length, s.PartitionZone([]string{"a", "b"}[r.IntN(2)])) })
+	{"a zone is cut off with a controller, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		cluster.At(at, func() { cluster.At(at+4*length, cluster.PartitionZone([]string{"a", "b"}[random.IntN(2)])) })
 		for i := range 3 {
-			s.Cancel(at+3*length*r.Float64(), fmt.Sprintf("wk-%d", i+1))
+			cluster.Cancel(at+3*length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
 		}
 	}},
-	{"leaders change ten times, also in an outage", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
+	{"leaders change ten times, also in an outage", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		for i := range 10 {
-			s.restartQuickly(at+0.3*length*float64(i), 0.05+length*r.Float64()*r.Float64(), s.leaderProcess)
+			cluster.restartQuickly(at+0.3*length*float64(i), 0.05+length*random.Float64()*random.Float64(), cluster.leaderProcess)
 		}
-		s.At(at+length, func() { s.State.StartOutage(time.Duration(1.5 * length * r.Float64() * float64(time.Second))) })
-		s.cutLinksFor(at, at+4*length, s.machineLinks(w[r.IntN(len(w))]))
+		cluster.At(at+length, func() {
+			cluster.State.StartOutage(time.Duration(1.5 * length * random.Float64() * float64(time.Second)))
+		})
+		cluster.cutLinksFor(at, at+4*length, cluster.machineLinks(machines[random.IntN(len(machines))]))
 	}},
-	{"jobs of one zone lose machines", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
+	{"jobs of one zone lose machines", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		yes := true
 		for i := range 4 {
-			shape := []protocol.JobShape{protocol.ShapeArray, protocol.ShapeGang}[r.IntN(2)]
-			s.Submit(at-3+float64(i)/2, NewSubmission(fmt.Sprintf("wk-z%d", i), shape, 2+r.IntN(2), float64(1+r.IntN(2)), 4+14*r.Float64(), func(x *protocol.Submission) { x.SingleZone = &yes }))
+			shape := []protocol.JobShape{protocol.ShapeArray, protocol.ShapeGang}[random.IntN(2)]
+			cluster.Submit(at-3+float64(i)/2, NewSubmission(fmt.Sprintf("wk-z%d", i), shape, 2+random.IntN(2), float64(1+random.IntN(2)), 4+14*random.Float64(), func(submission *protocol.Submission) { submission.SingleZone = &yes }))
 		}
-		s.At(at, w[r.IntN(len(w))].Die)
-		x := w[r.IntN(len(w))]
-		s.At(at+1, func() { x.Hung = true })
-		s.At(at+1+2*length, func() { x.Hung = false })
-		s.cutLinksFor(at+2*r.Float64(), at+3*length, s.machineLinks(w[r.IntN(len(w))]))
-	}},
-	{"all controllers are away for longer than a lease", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		lease := s.Settings.Deployment.Workers.Lease
-		for _, n := range s.controllerNames {
-			s.crashFor(at, at+lease*(1+r.Float64()), n)
+		cluster.At(at, machines[random.IntN(len(machines))].Die)
+		machine := machines[random.IntN(len(machines))]
+		cluster.At(at+1, func() { machine.Hung = true })
+		cluster.At(at+1+2*length, func() { machine.Hung = false })
+		cluster.cutLinksFor(at+2*random.Float64(), at+3*length, cluster.machineLinks(machines[random.IntN(len(machines))]))
+	}},
+	{"all controllers are away for longer than a lease", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		lease := cluster.Settings.Deployment.Workers.Lease
+		for _, name := range cluster.controllerNames {
+			cluster.crashFor(at, at+lease*(1+random.Float64()), name)
 		}
 	}},
-	{"slow links, and more work than room", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		s.addLinkLatency(at-4, at+2*length, 2*r.Float64())
+	{"slow links, and more work than room", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		cluster.addLinkLatency(at-4, at+2*length, 2*random.Float64())
 		m, v := 4.0, 1.0
-		s.Submit(at-3, NewSubmission("wk-u1", protocol.ShapeArray, 20, 1, 10, func(x *protocol.Submission) {
-			x.CheckpointInterval, x.CheckpointDuration, x.Priority = &m, &v, stringPointer("best_effort")
+		cluster.Submit(at-3, NewSubmission("wk-u1", protocol.ShapeArray, 20, 1, 10, func(submission *protocol.Submission) {
+			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
 		}))
-		s.Submit(at, NewSubmission("wk-u2", protocol.ShapeGang, 2, 3, 5, func(x *protocol.Submission) { x.Priority = stringPointer("high") }))
-		s.Submit(at+1, NewSubmission("wk-u3", protocol.ShapeArray, 6, 2, 5, func(x *protocol.Submission) { x.Priority = stringPointer("prod") }))
+		cluster.Submit(at, NewSubmission("wk-u2", protocol.ShapeGang, 2, 3, 5, func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }))
+		cluster.Submit(at+1, NewSubmission("wk-u3", protocol.ShapeArray, 6, 2, 5, func(submission *protocol.Submission) { submission.Priority = stringPointer("prod") }))
 	}},
-	{"jobs are cancelled, asked about and submitted again as they end", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		s.At(at, func() {
-			s.OnJobCompleted = func(id string) {
-				if r.IntN(2) == 0 || s.jobs[id].Class != "class" || s.jobs[id].Priority != 1 {
+	{"jobs are cancelled, asked about and submitted again as they end", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		cluster.At(at, func() {
+			cluster.OnJobCompleted = func(id string) {
+				if random.IntN(2) == 0 || cluster.jobs[id].Class != "class" || cluster.jobs[id].Priority != 1 {
 					return
 				}
-				j := s.jobs[id]
-				sub := NewSubmission(id, j.Shape, j.Tasks, j.Cores, j.Estimate, nil)
+				job := cluster.jobs[id]
+				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate, nil)
 				for range 4 {
-					what := []string{"ask", "submit", "cancel"}[r.IntN(3)]
-					s.after(time.Duration(0.6*r.Float64()*r.Float64()*float64(time.Second)), func() { s.repeatRequest(s.controllerNames[r.IntN(3)], what, sub) })
+					what := []string{"ask", "submit", "cancel"}[random.IntN(3)]
+					cluster.after(time.Duration(0.6*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
 				}
 			}
 		})
-		s.At(at+4*length, func() { s.OnJobCompleted = nil })
+		cluster.At(at+4*length, func() { cluster.OnJobCompleted = nil })
 	}},
-	{"users send odd requests", func(s *Cluster, r *rand.Rand, w []*Machine, at, length float64) {
-		sub := NewSubmission("wk-o1", protocol.ShapeArray, 1+r.IntN(3), 1, 4+6*r.Float64(), nil)
-		s.Submit(at-2, sub)
-		s.sendInvalidRequests(at, at+2*length, sub)
+	{"users send odd requests", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		submission := NewSubmission("wk-o1", protocol.ShapeArray, 1+random.IntN(3), 1, 4+6*random.Float64(), nil)
+		cluster.Submit(at-2, submission)
+		cluster.sendInvalidRequests(at, at+2*length, submission)
 	}},
 }
 
 // staleAnswers are the same for random days; see delayedMessages.
 var staleAnswers = []fault{
-	{"transactions are answered late", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayResponsesFor("/multi", r, 1, at+3*length, 0.2+1.6*r.Float64())
+	{"transactions are answered late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayResponsesFor("/multi", random, 1, at+3*length, 0.2+1.6*random.Float64())
 	}},
-	{"news are told late", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayResponsesFor("/changes", r, at, at+2*length, 0.2+2.2*r.Float64())
+	{"news are told late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayResponsesFor("/changes", random, at, at+2*length, 0.2+2.2*random.Float64())
 	}},
-	{"answers to transactions are lost, and users ask everywhere", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayRequestsFor(at, at+2*length, 0.2+0.6*r.Float64(), 0.001, 0.01, "/multi")
+	{"answers to transactions are lost, and users ask everywhere", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+2*length, 0.2+0.6*random.Float64(), 0.001, 0.01, "/multi")
 		for i := range 12 {
 			id := fmt.Sprintf("wk-%d", 1+i%5)
-			s.At(at+2*length*r.Float64(), func() {
-				j := s.jobs[id]
-				if j == nil || s.reportedStatus[id] == "" {
+			cluster.At(at+2*length*random.Float64(), func() {
+				job := cluster.jobs[id]
+				if job == nil || cluster.reportedStatus[id] == "" {
 					return // a repetition holds what the first one did
 				}
-				sub := NewSubmission(id, j.Shape, j.Tasks, j.Cores, j.Estimate, nil)
-				for k, what := range []string{[]string{"cancel", "submit", "ask"}[r.IntN(3)], "ask", "submit", "ask"} {
-					s.after(time.Duration(float64(k)*0.3*r.Float64()*float64(time.Second)), func() { s.repeatRequest(s.controllerNames[r.IntN(3)], what, sub) })
+				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate, nil)
+				for k, what := range []string{[]string{"cancel", "submit", "ask"}[random.IntN(3)], "ask", "submit", "ask"} {
+					cluster.after(time.Duration(float64(k)*0.3*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
 				}
 			})
 		}
 	}},
-	{"jobs are called off as they move", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.DropCancellationNotices = r.IntN(2) == 0
-		submitArrays(s, "wk-m", at-2, 4+r.IntN(4), 2+r.IntN(3), 3+12*r.Float64())
-		s.onChunkMove(at-2, func(id string) {
-			if r.IntN(2) == 0 {
-				s.after(time.Duration(r.Float64()*r.Float64()*float64(time.Second)), func() { s.requestCancellation(id) })
+	{"jobs are called off as they move", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.DropCancellationNotices = random.IntN(2) == 0
+		submitArrays(cluster, "wk-m", at-2, 4+random.IntN(4), 2+random.IntN(3), 3+12*random.Float64())
+		cluster.onChunkMove(at-2, func(id string) {
+			if random.IntN(2) == 0 {
+				cluster.after(time.Duration(random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.requestCancellation(id) })
 			}
 		})
 	}},
-	{"old reports reach every controller as a new leader begins", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
+	{"old reports reach every controller as a new leader begins", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		var old [][]byte
-		s.DelayedRequests = append(s.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
-			if now := s.now.Seconds(); path == "/v1/report" && now > at-6 && now < at {
+		cluster.DelayedRequests = append(cluster.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
+			if now := cluster.now.Seconds(); path == "/v1/report" && now > at-6 && now < at {
 				old = append(old, append([]byte(nil), body...))
 			}
 			return 0, false
 		})
-		s.restartQuickly(at, 0.2+2*length*r.Float64(), s.leaderProcess)
+		cluster.restartQuickly(at, 0.2+2*length*random.Float64(), cluster.leaderProcess)
 		for range 12 { // some of them as it begins, whoever it is
-			s.At(at+s.Settings.Deployment.Workers.Lease*r.Float64(), func() {
+			cluster.At(at+cluster.Settings.Deployment.Workers.Lease*random.Float64(), func() {
 				for range min(len(old), 8) {
-					body := old[r.IntN(len(old))]
-					for _, n := range s.runningControllers() {
-						s.handlers[s.apiAddress(n)]("POST", "/v1/report", body, func(int, any) {})
+					body := old[random.IntN(len(old))]
+					for _, name := range cluster.runningControllers() {
+						cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {})
 					}
 				}
 			})
 		}
 	}},
-	{"machines are up at once while writes lag, and the leader ends", func(s *Cluster, r *rand.Rand, _ []*Machine, at, length float64) {
-		s.delayRequestsFor(at-1, at+length, 0.3+0.4*r.Float64(), 0.5, 8, "/multi")
-		for range 2 + r.IntN(3) {
-			s.At(at+2*r.Float64(), func() { s.AddMachine("small", []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0) })
+	{"machines are up at once while writes lag, and the leader ends", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), 0.5, 8, "/multi")
+		for range 2 + random.IntN(3) {
+			cluster.At(at+2*random.Float64(), func() { cluster.AddMachine("small", []string{"a", "b"}[random.IntN(2)], random.IntN(2) == 0) })
 		}
-		submitArrays(s, "wk-n", at, 3, 4, 3+6*r.Float64())
-		s.restartQuickly(at+3*r.Float64(), 0.1+length*r.Float64(), s.leaderProcess)
+		submitArrays(cluster, "wk-n", at, 3, 4, 3+6*random.Float64())
+		cluster.restartQuickly(at+3*random.Float64(), 0.1+length*random.Float64(), cluster.leaderProcess)
 	}},
 }
 
--- a/internal/simulator/refused_then_down_test.go
+++ b/internal/simulator/refused_then_down_test.go
@@ -18,19 +18,19 @@
 // confirm cancellations, and then it is down for all for longer than cancel_s, while
 // workers keep reporting to those. Times in seconds.
 type refusalThenOutage struct {
-	refused func(s *Cluster) []string // who is refused
-	length  float64                   // for so long, from refusedAt on
-	outage  float64                   // all are from then on; 0: from right after a renewal of theirs on
-	twice   bool                      // all of it once more
-	only    bool                      // half of the machines reach only those
-	slow    float64                   // their requests for changes get no answer for so long after
-	answers float64                   // the state service's answers to all are so late until it is down
-	held    float64                   // orders of that time reach their machines so late
-	back    bool                      // they end in the middle and are back at once
-	clocks  float64                   // how far they are off
-	said    bool                      // they hear from the others what was cancelled
-	edit    func(s *Cluster)
-	timing  func(s *Cluster)
+	refused func(cluster *Cluster) []string // who is refused
+	length  float64                         // for so long, from refusedAt on
+	outage  float64                         // all are from then on; 0: from right after a renewal of theirs on
+	twice   bool                            // all of it once more
+	only    bool                            // half of the machines reach only those
+	slow    float64                         // their requests for changes get no answer for so long after
+	answers float64                         // the state service's answers to all are so late until it is down
+	held    float64                         // orders of that time reach their machines so late
+	back    bool                            // they end in the middle and are back at once
+	clocks  float64                         // how far they are off
+	said    bool                            // they hear from the others what was cancelled
+	edit    func(cluster *Cluster)
+	timing  func(cluster *Cluster)
 }
 
 const refusedAt = 20.0
@@ -42,61 +42,61 @@
 func (c *Cluster) useTighterLeases() { c.setLeaseTimes(3, 15.5, 18) }
 
 func (c *Cluster) setLeaseTimes(report, lease, cancel float64) {
-	for _, n := range c.controllerNames {
-		d := &c.Controllers[n].settings.Deployment.Workers
+	for _, name := range c.controllerNames {
+		d := &c.Controllers[name].settings.Deployment.Workers
 		d.Report, d.Lease, d.Cancel = report, lease, cancel
 	}
 }
 
 func (g *refusalThenOutage) play(seed uint64) *Cluster {
-	s := NewCluster(seed)
-	s.ServeAPI()
+	cluster := NewCluster(seed)
+	cluster.ServeAPI()
 	if g.timing == nil {
 		g.timing = (*Cluster).useTightLeases
 	}
-	g.timing(s)
+	g.timing(cluster)
 	if g.edit != nil {
-		g.edit(s)
+		g.edit(cluster)
 	}
-	w := addMachines(s, 9, 0)
-	for _, x := range w {
-		x.ClockRate = 1 - g.clocks
+	machines := addMachines(cluster, 9, 0)
+	for _, machine := range machines {
+		machine.ClockRate = 1 - g.clocks
 	}
-	for _, n := range s.controllerNames {
-		s.Controllers[n].ClockRate = 1 - g.clocks
+	for _, name := range cluster.controllerNames {
+		cluster.Controllers[name].ClockRate = 1 - g.clocks
 	}
-	lasts := 1.2 * s.Settings.Deployment.Workers.Cancel
-	s.DropCancellationNotices = !g.said // so that the bound holds by itself
+	lasts := 1.2 * cluster.Settings.Deployment.Workers.Cancel
+	cluster.DropCancellationNotices = !g.said // so that the bound holds by itself
 	// Cancelled before, in and after the refusal; one job before the service is down.
 	at := []float64{-0.1, 0.1, 0.3, 0.6, 0.9, 1.2}
 	for i, x := range at {
 		id := fmt.Sprintf("wk-%d", i+1)
-		s.Submit(4+float64(i)/4, NewSubmission(id, protocol.ShapeArray, 6, 1, 300, nil))
-		s.Cancel(refusedAt+x*g.length, id)
+		cluster.Submit(4+float64(i)/4, NewSubmission(id, protocol.ShapeArray, 6, 1, 300, nil))
+		cluster.Cancel(refusedAt+x*g.length, id)
 	}
-	s.Submit(refusedAt-0.4, NewSubmission("wk-9", protocol.ShapeArray, 8, 0.5, 300, nil)) // on its way when it is cancelled
-	s.Cancel(refusedAt+0.2, "wk-9")
-	s.inject(g, w, refusedAt, lasts)
+	cluster.Submit(refusedAt-0.4, NewSubmission("wk-9", protocol.ShapeArray, 8, 0.5, 300, nil)) // on its way when it is cancelled
+	cluster.Cancel(refusedAt+0.2, "wk-9")
+	cluster.inject(g, machines, refusedAt, lasts)
 	end := refusedAt + g.length + lasts
 	if g.twice {
-		s.Submit(end+5, NewSubmission("wk-7", protocol.ShapeArray, 18, 1, 300, nil))
-		s.Submit(end+5, NewSubmission("wk-8", protocol.ShapeArray, 18, 1, 300, nil))
-		s.Cancel(end+20.2, "wk-7")
-		s.Cancel(end+21, "wk-8")
-		s.inject(g, w, end+20, lasts)
+		cluster.Submit(end+5, NewSubmission("wk-7", protocol.ShapeArray, 18, 1, 300, nil))
+		cluster.Submit(end+5, NewSubmission("wk-8", protocol.ShapeArray, 18, 1, 300, nil))
+		cluster.Cancel(end+20.2, "wk-7")
+		cluster.Cancel(end+21, "wk-8")
+		cluster.inject(g, machines, end+20, lasts)
 		end += 20 + g.length + lasts
 	}
-	s.Start()
-	s.Run(end + 40)
-	return s
+	cluster.Start()
+	cluster.Run(end + 40)
+	return cluster
 }
 
-func (c *Cluster) inject(g *refusalThenOutage, w []*Machine, at, lasts float64) {
+func (c *Cluster) inject(fault *refusalThenOutage, machines []*Machine, at, lasts float64) {
 	down := false
-	if g.answers > 0 {
+	if fault.answers > 0 {
 		c.At(at-5, func() {
 			c.State.ResponseDelay = func(string) time.Duration {
-				return time.Duration(c.random.Float64() * g.answers * float64(time.Second))
+				return time.Duration(c.random.Float64() * fault.answers * float64(time.Second))
 			}
 		})
 	}
@@ -107,42 +107,42 @@
 			c.State.StartOutage(time.Duration(lasts * float64(time.Second)))
 		}
 	}
-	if g.held > 0 {
-		c.delayRequestsFor(at-0.41, at+g.length, 1, g.held/2, 3*g.held/2, "/orders")
+	if fault.held > 0 {
+		c.delayRequestsFor(at-0.41, at+fault.length, 1, fault.held/2, 3*fault.held/2, "/orders")
 	}
 	c.At(at, func() {
-		refused := g.refused(c)
-		for _, n := range refused {
-			c.SetRefusal(n, "state", true)
-			c.after(time.Duration(g.length*float64(time.Second)), func() { c.SetRefusal(n, "state", false) })
-			if g.back {
-				c.after(time.Duration(g.length/2*float64(time.Second)), func() {
-					c.Controllers[n].Crash()
-					c.after(300*time.Millisecond, c.Controllers[n].Start)
+		refused := fault.refused(c)
+		for _, name := range refused {
+			c.SetRefusal(name, "state", true)
+			c.after(time.Duration(fault.length*float64(time.Second)), func() { c.SetRefusal(name, "state", false) })
+			if fault.back {
+				c.after(time.Duration(fault.length/2*float64(time.Second)), func() {
+					c.Controllers[name].Crash()
+					c.after(300*time.Millisecond, c.Controllers[name].Start)
 				})
 			}
 		}
-		for i, x := range w {
-			for _, n := range c.controllerNames {
-				if g.only && i%2 == 0 && !slices.Contains(refused, n) {
-					c.cutLink(x.Address(), n)
-					c.cutLink(x.Address(), c.apiAddress(n))
+		for i, machine := range machines {
+			for _, name := range c.controllerNames {
+				if fault.only && i%2 == 0 && !slices.Contains(refused, name) {
+					c.cutLink(machine.Address(), name)
+					c.cutLink(machine.Address(), c.apiAddress(name))
 				}
 			}
 		}
-		to := c.now + time.Duration((g.length+g.slow)*float64(time.Second))
+		to := c.now + time.Duration((fault.length+fault.slow)*float64(time.Second))
 		c.DelayedRequests = append(c.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
-			return time.Second, g.slow > 0 && c.now < to && strings.HasPrefix(path, "/changes") && slices.Contains(refused, from)
+			return time.Second, fault.slow > 0 && c.now < to && strings.HasPrefix(path, "/changes") && slices.Contains(refused, from)
 		})
-		after := c.now + time.Duration((g.length+max(0, g.slow-1))*float64(time.Second))
+		after := c.now + time.Duration((fault.length+max(0, fault.slow-1))*float64(time.Second))
 		c.OnRequest = func(from, _, path string) {
-			if g.outage == 0 && !down && c.now > after && strings.HasSuffix(path, "/touch") && slices.Contains(refused, from) {
+			if fault.outage == 0 && !down && c.now > after && strings.HasSuffix(path, "/touch") && slices.Contains(refused, from) {
 				c.after(5*time.Millisecond, outage) // it has been carried out
 			}
 		}
 	})
-	if g.outage > 0 {
-		c.At(at+g.outage, outage)
+	if fault.outage > 0 {
+		c.At(at+fault.outage, outage)
 	}
 }
 
@@ -158,13 +158,13 @@
 	try := func(what string, g refusalThenOutage) {
 		seed++
 		g.edit = edit
-		s := g.play(seed)
-		for _, b := range s.Violations {
-			t.Errorf("%s (seed %d): %s", what, seed, b)
+		cluster := g.play(seed)
+		for _, violation := range cluster.Violations {
+			t.Errorf("%s (seed %d): %s", what, seed, violation)
 		}
 		for _, i := range []int{1, 2, 3, 4, 5, 6, 9} {
-			if id := fmt.Sprintf("wk-%d", i); s.ReportedStatus(id) != protocol.JobCancelled {
-				t.Errorf("%s: %s is %q, was to be cancelled", what, id, s.ReportedStatus(id))
+			if id := fmt.Sprintf("wk-%d", i); cluster.ReportedStatus(id) != protocol.JobCancelled {
+				t.Errorf("%s: %s is %q, was to be cancelled", what, id, cluster.ReportedStatus(id))
 			}
 		}
 	}
@@ -203,19 +203,19 @@
 	for seed := uint64(1200); seed < 1206; seed++ {
 		for _, said := range []bool{true, false} {
 			g := refusalThenOutage{refused: leaderAndLargestOwner, length: 5, outage: 4.5, said: said, timing: (*Cluster).useLongLeases}
-			s := g.play(seed)
-			for _, b := range s.Violations {
-				t.Errorf("seed %d: %s", seed, b)
+			cluster := g.play(seed)
+			for _, violation := range cluster.Violations {
+				t.Errorf("seed %d: %s", seed, violation)
 			}
 			for _, id := range []string{"wk-2", "wk-3", "wk-4", "wk-5", "wk-6", "wk-9"} {
-				p := s.histories.job(id)
+				history := cluster.histories.job(id)
 				if !said {
-					without = max(without, p.presentAfterCancellation)
+					without = max(without, history.presentAfterCancellation)
 					continue
 				}
 				// The next direct order; one that is on its way comes before it.
-				if p.presentAfterCancellation > 2*time.Second || p.startsAfterCancellation > 0 {
-					t.Errorf("seed %d: %s was on machines for %v after its cancellation, %d of its tasks came after it", seed, id, p.presentAfterCancellation, p.startsAfterCancellation)
+				if history.presentAfterCancellation > 2*time.Second || history.startsAfterCancellation > 0 {
+					t.Errorf("seed %d: %s was on machines for %v after its cancellation, %d of its tasks came after it", seed, id, history.presentAfterCancellation, history.startsAfterCancellation)
 				}
 			}
 		}
@@ -228,9 +228,9 @@
 // The users' sequence, to be read. Their own words: it broke most schedulers.
 func TestRefusalThenOutageTrace(t *testing.T) {
 	g := refusalThenOutage{refused: leaderOnly, length: 10, only: true}
-	s := g.play(699)
-	compareTrace(t, "combined-refused-then-down", s.TraceText())
-	for _, b := range s.Violations {
-		t.Errorf("rule broken: %s", b)
+	cluster := g.play(699)
+	compareTrace(t, "combined-refused-then-down", cluster.TraceText())
+	for _, violation := range cluster.Violations {
+		t.Errorf("rule broken: %s", violation)
 	}
 }
--- a/internal/simulator/rush_test.go
+++ b/internal/simulator/rush_test.go
@@ -17,68 +17,68 @@
 // cancellation was confirmed, or is left; what was accepted is done or cancelled.
 func TestSingleTaskRushAtWriteLimit(t *testing.T) {
 	t.Parallel()
-	troubles := map[string]func(s *Cluster){
+	troubles := map[string]func(cluster *Cluster){
 		"none": func(*Cluster) {},
-		"leaders end": func(s *Cluster) {
-			s.restartQuickly(30, 0.3, s.leaderProcess)
-			s.restartQuickly(60, 7, s.leaderProcess)
-			s.restartQuickly(90, 0.3, s.leaderProcess)
+		"leaders end": func(cluster *Cluster) {
+			cluster.restartQuickly(30, 0.3, cluster.leaderProcess)
+			cluster.restartQuickly(60, 7, cluster.leaderProcess)
+			cluster.restartQuickly(90, 0.3, cluster.leaderProcess)
 		},
-		"all end":        func(s *Cluster) { s.crashFor(50, 52.5, s.controllerNames...) },
-		"one is refused": func(s *Cluster) { s.refuseControllersFor(40, 65, largestOwnerOnly) },
-		"writes are late": func(s *Cluster) {
-			s.delayRequestsFor(40, 70, 0.1, 2, 12, "/multi")
-			s.restartQuickly(55, 0.3, s.leaderProcess)
+		"all end":        func(cluster *Cluster) { cluster.crashFor(50, 52.5, cluster.controllerNames...) },
+		"one is refused": func(cluster *Cluster) { cluster.refuseControllersFor(40, 65, largestOwnerOnly) },
+		"writes are late": func(cluster *Cluster) {
+			cluster.delayRequestsFor(40, 70, 0.1, 2, 12, "/multi")
+			cluster.restartQuickly(55, 0.3, cluster.leaderProcess)
 		},
-		"answers are lost": func(s *Cluster) {
-			s.delayRequestsFor(40, 70, 0.2, 0.001, 0.002, "/multi")
-			s.restartQuickly(55, 0.3, s.leaderProcess)
+		"answers are lost": func(cluster *Cluster) {
+			cluster.delayRequestsFor(40, 70, 0.2, 0.001, 0.002, "/multi")
+			cluster.restartQuickly(55, 0.3, cluster.leaderProcess)
 		},
-		"commands are late": func(s *Cluster) {
-			s.delayRequestsFor(40, 70, 0.1, 2, 16, "/orders")
-			s.restartQuickly(55, 4, s.nonLeaderOwner)
+		"commands are late": func(cluster *Cluster) {
+			cluster.delayRequestsFor(40, 70, 0.1, 2, 16, "/orders")
+			cluster.restartQuickly(55, 4, cluster.nonLeaderOwner)
 		},
-		"machines lost, too": func(s *Cluster) {
-			s.cutLinksFor(40, 70, s.machineLinks(s.Machines["i-002"]))
-			s.restartQuickly(55, 4, s.nonLeaderOwner)
+		"machines lost, too": func(cluster *Cluster) {
+			cluster.cutLinksFor(40, 70, cluster.machineLinks(cluster.Machines["i-002"]))
+			cluster.restartQuickly(55, 4, cluster.nonLeaderOwner)
 		},
 	}
 	for _, name := range slices.Sorted(maps.Keys(troubles)) {
 		for seed := uint64(2700); seed < 2702; seed++ {
-			s := NewCluster(seed)
-			s.ServeAPI()
-			for _, n := range s.controllerNames {
-				s.Controllers[n].settings.Deployment.State.WriteRPS = 14
+			cluster := NewCluster(seed)
+			cluster.ServeAPI()
+			for _, name := range cluster.controllerNames {
+				cluster.Controllers[name].settings.Deployment.State.WriteRPS = 14
 			}
-			s.State.writeLimit = newRateLimit(14, 14)
-			s.histories.FaultsOver = 150 * time.Second
-			s.monitorWaitingJobs()
-			r := rand.New(rand.NewPCG(seed, 9))
-			addMachines(s, 10, 0)
+			cluster.State.writeLimit = newRateLimit(14, 14)
+			cluster.histories.FaultsOver = 150 * time.Second
+			cluster.monitorWaitingJobs()
+			random := rand.New(rand.NewPCG(seed, 9))
+			addMachines(cluster, 10, 0)
 			for i := range 480 {
 				id, at := fmt.Sprintf("wk-%d", i), 8+float64(i)/4
-				s.Submit(at, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+6*r.Float64(), nil))
-				if r.IntN(4) == 0 {
-					s.Cancel(at+9*r.Float64()*r.Float64(), id)
+				cluster.Submit(at, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+6*random.Float64(), nil))
+				if random.IntN(4) == 0 {
+					cluster.Cancel(at+9*random.Float64()*random.Float64(), id)
 				}
 			}
-			troubles[name](s)
-			s.Start()
-			s.Run(320)
+			troubles[name](cluster)
+			cluster.Start()
+			cluster.Run(320)
 			what := fmt.Sprintf("%s, seed %d", name, seed)
-			for _, wrong := range s.checkDay(false) {
+			for _, wrong := range cluster.checkDay(false) {
 				t.Errorf("%s: %s", what, wrong)
 			}
 			ordered, ends := 0, map[protocol.JobStatus]int{}
-			for id := range s.jobs {
-				ordered += s.histories.job(id).launchesAfterCancellation
-				ends[s.ReportedStatus(id)]++
+			for id := range cluster.jobs {
+				ordered += cluster.histories.job(id).launchesAfterCancellation
+				ends[cluster.ReportedStatus(id)]++
 			}
 			if ordered > 0 && name != "commands are late" {
 				t.Errorf("%s: %d tasks were ordered to begin after their cancellation", what, ordered)
 			}
-			if s.State.writeLimit.Refused < 20 {
-				t.Errorf("%s: only %d transactions were refused for want of changes", what, s.State.writeLimit.Refused)
+			if cluster.State.writeLimit.Refused < 20 {
+				t.Errorf("%s: only %d transactions were refused for want of changes", what, cluster.State.writeLimit.Refused)
 			}
 			if ends[protocol.JobCancelled] < 60 {
 				t.Errorf("%s: only %d of 480 jobs were cancelled", what, ends[protocol.JobCancelled])
--- a/internal/simulator/services.go
+++ b/internal/simulator/services.go
@@ -74,12 +74,12 @@
 	renewals int
 }
 
-func newStateService(s *Cluster) *StateService {
-	d := &s.Settings.Deployment.State
-	st := &StateService{cluster: s, entries: map[string]protocol.Entry{}, leases: map[uint64]*lease{},
+func newStateService(cluster *Cluster) *StateService {
+	d := &cluster.Settings.Deployment.State
+	state := &StateService{cluster: cluster, entries: map[string]protocol.Entry{}, leases: map[uint64]*lease{},
 		requestLimit: newRateLimit(d.RPS, d.RPS), writeLimit: newRateLimit(d.WriteRPS, d.WriteRPS), maxValueKB: d.ValueKB, maxTransactionSize: d.TxnOps}
-	st.Address = s.listen(s.address("state"), st.serve)
-	return st
+	state.Address = cluster.listen(cluster.address("state"), state.serve)
+	return state
 }
 
 type responseFields map[string]any
@@ -127,20 +127,20 @@
 	case u.Path == "/store":
 		list := protocol.EntryList{StoreRevision: s.revision, Entries: []protocol.Entry{}}
 		limit, _ := strconv.Atoi(q.Get("limit"))
-		for _, k := range s.keys(q.Get("under")) {
-			if k <= q.Get("since") {
+		for _, key := range s.keys(q.Get("under")) {
+			if key <= q.Get("since") {
 				continue
 			}
 			if len(list.Entries) >= limit {
 				list.Truncated = true
 				break
 			}
-			list.Entries = append(list.Entries, s.entries[k])
+			list.Entries = append(list.Entries, s.entries[key])
 		}
 		reply(200, &list)
 	case strings.HasPrefix(u.Path, "/store/"):
-		if e, ok := s.entries[u.Path[7:]]; ok {
-			reply(200, &e)
+		if entry, ok := s.entries[u.Path[7:]]; ok {
+			reply(200, &entry)
 		} else {
 			reply(404, responseFields{"ledger": s.revision})
 		}
@@ -155,9 +155,9 @@
 
 func (s *StateService) keys(prefix string) []string {
 	var out []string
-	for k := range s.entries {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, k)
+	for key := range s.entries {
+		if strings.HasPrefix(key, prefix) {
+			out = append(out, key)
 		}
 	}
 	sort.Strings(out)
@@ -181,10 +181,10 @@
 	}
 	delete(s.leases, id)
 	s.revision++
-	for _, k := range s.keys("") {
-		if s.entries[k].Lease == id {
-			delete(s.entries, k)
-			s.changeLog = append(s.changeLog, protocol.Change{Delete: k, Revision: s.revision})
+	for _, key := range s.keys("") {
+		if s.entries[key].Lease == id {
+			delete(s.entries, key)
+			s.changeLog = append(s.changeLog, protocol.Change{Delete: key, Revision: s.revision})
 		}
 	}
 	s.notifyWatches()
@@ -205,16 +205,16 @@
 		reply(429, nil)
 		return
 	}
-	for _, o := range t.Mutations {
-		if o.Lease != 0 && s.leases[o.Lease] == nil {
+	for _, mutation := range t.Mutations {
+		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
 			reply(400, responseFields{"error": "no such lease"})
 			return
 		}
 	}
 	var failed []string
-	for _, c := range t.Conditions {
-		if s.entries[c.Key].Revision != c.Revision {
-			failed = append(failed, c.Key)
+	for _, condition := range t.Conditions {
+		if s.entries[condition.Key].Revision != condition.Revision {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if failed != nil {
@@ -225,14 +225,14 @@
 		s.revision++
 		s.Writes += len(t.Mutations)
 	}
-	for _, o := range t.Mutations {
-		if o.Put != "" {
-			v := append(cbor.RawMessage(nil), o.Value...)
-			s.entries[o.Put] = protocol.Entry{Key: o.Put, Value: v, Revision: s.revision, Lease: o.Lease}
-			s.changeLog = append(s.changeLog, protocol.Change{Put: o.Put, Value: v, Revision: s.revision})
-		} else if _, ok := s.entries[o.Delete]; ok {
-			delete(s.entries, o.Delete)
-			s.changeLog = append(s.changeLog, protocol.Change{Delete: o.Delete, Revision: s.revision})
+	for _, mutation := range t.Mutations {
+		if mutation.Put != "" {
+			v := append(cbor.RawMessage(nil), mutation.Value...)
+			s.entries[mutation.Put] = protocol.Entry{Key: mutation.Put, Value: v, Revision: s.revision, Lease: mutation.Lease}
+			s.changeLog = append(s.changeLog, protocol.Change{Put: mutation.Put, Value: v, Revision: s.revision})
+		} else if _, ok := s.entries[mutation.Delete]; ok {
+			delete(s.entries, mutation.Delete)
+			s.changeLog = append(s.changeLog, protocol.Change{Delete: mutation.Delete, Revision: s.revision})
 		}
 	}
 	if n := len(s.changeLog) - maxChangeLog; n > maxChangeLog/10 {
@@ -250,13 +250,13 @@
 	if len(t.Mutations) > s.maxTransactionSize || len(t.Conditions) > 4*s.maxTransactionSize || size > 64<<10 {
 		return fmt.Sprintf("%d changes, %d conditions, %d bytes", len(t.Mutations), len(t.Conditions), size)
 	}
-	for _, o := range t.Mutations {
+	for _, mutation := range t.Mutations {
 		var value any
-		if o.Put == "" || protocol.Decode(o.Value, &value) != nil {
+		if mutation.Put == "" || protocol.Decode(mutation.Value, &value) != nil {
 			continue
 		}
 		if n := jsonSize(value); float64(n) > s.maxValueKB*1024 {
-			return fmt.Sprintf("%s has %d bytes", o.Put, n)
+			return fmt.Sprintf("%s has %d bytes", mutation.Put, n)
 		}
 	}
 	return ""
@@ -297,9 +297,9 @@
 			return true
 		}
 		c := protocol.ChangeLog{StoreRevision: s.revision, Changes: []protocol.Change{}}
-		for _, e := range s.changeLog {
-			if e.Revision > since && strings.HasPrefix(e.Put+e.Delete, prefix) {
-				c.Changes = append(c.Changes, e)
+		for _, change := range s.changeLog {
+			if change.Revision > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
+				c.Changes = append(c.Changes, change)
 			}
 		}
 		if len(c.Changes) == 0 && !final {
@@ -327,10 +327,10 @@
 }
 
 // StartOutage stops the service for a while.
-func (s *StateService) StartOutage(d time.Duration) {
+func (s *StateService) StartOutage(duration time.Duration) {
 	s.cluster.Trace("state service down")
 	s.Unavailable, s.cluster.outages[s.Address] = true, true
-	s.cluster.after(d, func() {
+	s.cluster.after(duration, func() {
 		s.cluster.Trace("state service back")
 		s.Unavailable, s.cluster.outages[s.Address] = false, false
 		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
@@ -354,13 +354,13 @@
 	callLimit      rateLimit
 }
 
-func newCloud(s *Cluster) *Cloud {
-	c := &Cloud{cluster: s, Capacity: map[string]int{}, rentals: map[string][]string{}, Types: []protocol.MachineType{
+func newCloud(cluster *Cluster) *Cloud {
+	c := &Cloud{cluster: cluster, Capacity: map[string]int{}, rentals: map[string][]string{}, Types: []protocol.MachineType{
 		{Name: "small", Cores: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerSecond: 1, OnDemandPrice: 0.4, SpotPrice: 0.1, BootSeconds: 10, Zones: []string{"a", "b"}},
 		{Name: "big", Cores: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBPerSecond: 1, OnDemandPrice: 2, SpotPrice: 0.6, BootSeconds: 10, Zones: []string{"a", "b"}},
 	}}
-	c.callLimit = newRateLimit(s.Settings.Deployment.Cloud.RPS, 2*s.Settings.Deployment.Cloud.RPS)
-	c.Address = s.listen(s.address("cloud"), c.serve)
+	c.callLimit = newRateLimit(cluster.Settings.Deployment.Cloud.RPS, 2*cluster.Settings.Deployment.Cloud.RPS)
+	c.Address = cluster.listen(cluster.address("cloud"), c.serve)
 	return c
 }
 
@@ -404,26 +404,26 @@
 			return
 		}
 		for _, id := range m.Machines {
-			if w := c.cluster.Machines[id]; w != nil && !w.deleted {
+			if machine := c.cluster.Machines[id]; machine != nil && !machine.deleted {
 				c.cluster.Trace("deleted %s", id)
-				w.remove()
-				c.Capacity[fmt.Sprintf("%s/%s/%v", w.machineType.Name, w.zone, w.spot)]++
+				machine.remove()
+				c.Capacity[fmt.Sprintf("%s/%s/%v", machine.machineType.Name, machine.zone, machine.spot)]++
 			}
 		}
 		reply(200, responseFields{})
 	case strings.HasPrefix(path, "/rentals?"):
 		out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
 		for _, id := range c.cluster.machineIDs() {
-			w := c.cluster.Machines[id]
-			if w.deleted {
+			machine := c.cluster.Machines[id]
+			if machine.deleted {
 				continue
 			}
 			state := protocol.MachineRunning
-			if !w.running {
+			if !machine.running {
 				state = protocol.MachineStarting
 			}
-			out.Machines = append(out.Machines, protocol.ListedMachine{ID: id, Address: w.address, Type: w.machineType.Name, Zone: w.zone,
-				Spot: w.spot, Status: state, AgeSeconds: (c.cluster.now - w.rentedAt).Seconds()})
+			out.Machines = append(out.Machines, protocol.ListedMachine{ID: id, Address: machine.address, Type: machine.machineType.Name, Zone: machine.zone,
+				Spot: machine.spot, Status: state, AgeSeconds: (c.cluster.now - machine.rentedAt).Seconds()})
 		}
 		reply(200, &out)
 	default:
@@ -432,19 +432,19 @@
 }
 
 func (c *Cloud) bootMachine(typ, zone string, spot bool) string {
-	w := c.cluster.AddMachine(typ, zone, spot)
-	w.running = false
-	boot := time.Duration(w.machineType.BootSeconds * (0.8 + 0.4*c.cluster.random.Float64()) * orOne(c.BootTimeFactor) * float64(time.Second))
+	machine := c.cluster.AddMachine(typ, zone, spot)
+	machine.running = false
+	boot := time.Duration(machine.machineType.BootSeconds * (0.8 + 0.4*c.cluster.random.Float64()) * orOne(c.BootTimeFactor) * float64(time.Second))
 	if c.FailingBoots > 0 {
 		c.FailingBoots--
-		return w.id
+		return machine.id
 	}
 	c.cluster.after(boot, func() {
-		if !w.deleted {
-			w.running = true
-			w.session, w.leaseStart = 1, c.cluster.now
-			w.sendReport()
+		if !machine.deleted {
+			machine.running = true
+			machine.session, machine.leaseStart = 1, c.cluster.now
+			machine.sendReport()
 		}
 	})
-	return w.id
+	return machine.id
 }
--- a/internal/simulator/stale_report_test.go
+++ b/internal/simulator/stale_report_test.go
@@ -61,42 +61,42 @@
 					back = 9
 				}
 				seed++
-				s := newMonitoredCluster(seed, 60)
-				w := addMachines(s, 8, 0)
-				s.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 4, nil))  // done by then
-				s.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 30, nil)) // runs all the while
-				s.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 2, 2, 5, nil))
-				s.Submit(12, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 7, nil)) // begins where the first ones ended
-				s.Submit(15, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 12, nil))
-				s.Submit(8, NewSubmission("wk-6", protocol.ShapeArray, 3, 1, 60, nil))
-				s.Cancel(15, "wk-6")
-				s.cutLinksFor(11.5, 28, s.machineLinks(w[0])) // its session ends meanwhile
-				kept := s.keepReports(5, 16, heldBack)
-				s.onLeaderChange(16, func() {
-					s.after(time.Duration(after*float64(time.Second)), func() {
-						for _, n := range s.runningControllers() {
-							if whom != "all" && whom != n {
+				cluster := newMonitoredCluster(seed, 60)
+				machines := addMachines(cluster, 8, 0)
+				cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 4, nil))  // done by then
+				cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 30, nil)) // runs all the while
+				cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 2, 2, 5, nil))
+				cluster.Submit(12, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 7, nil)) // begins where the first ones ended
+				cluster.Submit(15, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 12, nil))
+				cluster.Submit(8, NewSubmission("wk-6", protocol.ShapeArray, 3, 1, 60, nil))
+				cluster.Cancel(15, "wk-6")
+				cluster.cutLinksFor(11.5, 28, cluster.machineLinks(machines[0])) // its session ends meanwhile
+				kept := cluster.keepReports(5, 16, heldBack)
+				cluster.onLeaderChange(16, func() {
+					cluster.after(time.Duration(after*float64(time.Second)), func() {
+						for _, name := range cluster.runningControllers() {
+							if whom != "all" && whom != name {
 								continue
 							}
 							for _, body := range *kept {
 								sent++
-								s.after(s.latency(), func() { s.handlers[s.apiAddress(n)]("POST", "/v1/report", body, func(int, any) {}) })
+								cluster.after(cluster.latency(), func() { cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {}) })
 							}
 						}
 					})
 				})
-				s.restartQuickly(18, back, s.leaderProcess)
-				s.restartQuickly(26, 0.3, s.nonLeaderOwner)
-				s.restartQuickly(29, back, s.leaderProcess)
-				s.Start()
-				s.Run(230)
+				cluster.restartQuickly(18, back, cluster.leaderProcess)
+				cluster.restartQuickly(26, 0.3, cluster.nonLeaderOwner)
+				cluster.restartQuickly(29, back, cluster.leaderProcess)
+				cluster.Start()
+				cluster.Run(230)
 				what := fmt.Sprintf("to %s, %v s after a leader begins, held back %v (seed %d)", whom, after, heldBack, seed)
-				for _, wrong := range s.checkDay(false) {
+				for _, wrong := range cluster.checkDay(false) {
 					t.Errorf("%s: %s", what, wrong)
 				}
-				expectStatus(t, s, protocol.JobDone, "wk-1", "wk-2", "wk-3", "wk-4", "wk-5")
-				expectStatus(t, s, protocol.JobCancelled, "wk-6")
-				if n := s.tasksStartedOnce("wk-1"); n != 12 {
+				expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-3", "wk-4", "wk-5")
+				expectStatus(t, cluster, protocol.JobCancelled, "wk-6")
+				if n := cluster.tasksStartedOnce("wk-1"); n != 12 {
 					t.Errorf("%s: %d of 12 tasks that were done started once only", what, n)
 				}
 			}
--- a/internal/simulator/user_consistency_test.go
+++ b/internal/simulator/user_consistency_test.go
@@ -15,19 +15,19 @@
 // pollEveryController has users ask at all controllers, again and again within milliseconds,
 // and repeat the submission, right after a job was accepted, done or confirmed as
 // cancelled; a share of the jobs is cancelled at once.
-func (c *Cluster) pollEveryController(r *rand.Rand, cancelled float64) {
+func (c *Cluster) pollEveryController(random *rand.Rand, cancelled float64) {
 	c.OnStatusReported = func(id string, status protocol.JobStatus) {
 		if status == protocol.JobRunning {
 			return
 		}
-		cancel := status == protocol.JobPending && r.Float64() < cancelled
-		for i, n := range c.controllerNames {
+		cancel := status == protocol.JobPending && random.Float64() < cancelled
+		for i, name := range c.controllerNames {
 			for k := range 4 {
 				what := []string{"ask", "submit", "ask", "ask"}[(i+k)%4]
 				if cancel && k == 1 && i == int(c.now)%len(c.controllerNames) {
 					what = "cancel"
 				}
-				c.after(time.Duration(r.IntN(15*(k+1)))*time.Millisecond, func() { c.repeatRequest(n, what, c.submissions[id]) })
+				c.after(time.Duration(random.IntN(15*(k+1)))*time.Millisecond, func() { c.repeatRequest(name, what, c.submissions[id]) })
 			}
 		}
 	}
@@ -39,54 +39,58 @@
 // answer though they are carried out.
 func TestConsistentAnswersFromAllControllers(t *testing.T) {
 	t.Parallel()
-	troubles := map[string]func(s *Cluster, r *rand.Rand){
+	troubles := map[string]func(cluster *Cluster, random *rand.Rand){
 		"none":                  func(*Cluster, *rand.Rand) {},
-		"changes are told late": func(s *Cluster, r *rand.Rand) { s.delayResponsesFor("/changes", r, 6, 40, 2) },
-		"transactions slow":     func(s *Cluster, r *rand.Rand) { s.delayResponsesFor("/multi", r, 6, 40, 1.5) },
-		"answers lost":          func(s *Cluster, r *rand.Rand) { s.delayRequestsFor(6, 40, 0.4, 0.001, 0.002, "/multi") },
-		"written late":          func(s *Cluster, r *rand.Rand) { s.delayRequestsFor(6, 40, 0.2, 2, 12, "/multi") },
-		"leaders end": func(s *Cluster, r *rand.Rand) {
-			s.restartQuickly(10, 0.3, s.leaderProcess)
-			s.restartQuickly(16, 0.3, s.nonLeaderOwner)
-			s.restartQuickly(22, 4, s.leaderProcess)
+		"changes are told late": func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor("/changes", random, 6, 40, 2) },
+		"transactions slow":     func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor("/multi", random, 6, 40, 1.5) },
+		"answers lost": func(cluster *Cluster, random *rand.Rand) {
+			cluster.delayRequestsFor(6, 40, 0.4, 0.001, 0.002, "/multi")
 		},
-		"one controller refused": func(s *Cluster, r *rand.Rand) { s.refuseControllersFor(8, 24, leaderOnly) },
-		"one controller isolated": func(s *Cluster, r *rand.Rand) {
-			s.At(9, func() { s.after(15*time.Second, s.IsolateController(s.leaderProcess().name)) })
+		"written late": func(cluster *Cluster, random *rand.Rand) { cluster.delayRequestsFor(6, 40, 0.2, 2, 12, "/multi") },
+		"leaders end": func(cluster *Cluster, random *rand.Rand) {
+			cluster.restartQuickly(10, 0.3, cluster.leaderProcess)
+			cluster.restartQuickly(16, 0.3, cluster.nonLeaderOwner)
+			cluster.restartQuickly(22, 4, cluster.leaderProcess)
 		},
-		"one controller frozen": func(s *Cluster, r *rand.Rand) { s.At(9, func() { s.nonLeaderOwner().Pause(9*time.Second, true) }) },
-		"cancellations not passed": func(s *Cluster, r *rand.Rand) {
-			s.DropCancellationNotices = true
-			s.delayResponsesFor("/changes", r, 6, 40, 2)
+		"one controller refused": func(cluster *Cluster, random *rand.Rand) { cluster.refuseControllersFor(8, 24, leaderOnly) },
+		"one controller isolated": func(cluster *Cluster, random *rand.Rand) {
+			cluster.At(9, func() { cluster.after(15*time.Second, cluster.IsolateController(cluster.leaderProcess().name)) })
+		},
+		"one controller frozen": func(cluster *Cluster, random *rand.Rand) {
+			cluster.At(9, func() { cluster.nonLeaderOwner().Pause(9*time.Second, true) })
+		},
+		"cancellations not passed": func(cluster *Cluster, random *rand.Rand) {
+			cluster.DropCancellationNotices = true
+			cluster.delayResponsesFor("/changes", random, 6, 40, 2)
 		},
 	}
 	looks, ends := 0, map[protocol.JobStatus]int{}
 	for _, name := range slices.Sorted(maps.Keys(troubles)) {
 		for seed := uint64(2000); seed < 2003; seed++ {
-			s := newMonitoredCluster(seed, 60)
-			r := rand.New(rand.NewPCG(seed, 3))
-			addMachines(s, 6, 0)
+			cluster := newMonitoredCluster(seed, 60)
+			random := rand.New(rand.NewPCG(seed, 3))
+			addMachines(cluster, 6, 0)
 			for i := range 16 {
 				shape, tasks := protocol.ShapeArray, 1+i%5
 				if i%5 == 4 {
 					shape, tasks = protocol.ShapeGang, 2
 				}
-				s.Submit(6+1.5*float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), shape, tasks, 1, 1+6*r.Float64(), nil))
+				cluster.Submit(6+1.5*float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), shape, tasks, 1, 1+6*random.Float64(), nil))
 			}
-			s.pollEveryController(r, 0.3)
-			s.OnRequest = func(from, _, path string) {
+			cluster.pollEveryController(random, 0.3)
+			cluster.OnRequest = func(from, _, path string) {
 				if from == "user" && strings.HasPrefix(path, "/v2/runs") {
 					looks++
 				}
 			}
-			troubles[name](s, r)
-			s.Start()
-			s.Run(150)
-			for _, wrong := range s.checkDay(false) {
+			troubles[name](cluster, random)
+			cluster.Start()
+			cluster.Run(150)
+			for _, wrong := range cluster.checkDay(false) {
 				t.Errorf("%s, seed %d: %s", name, seed, wrong)
 			}
-			for id := range s.jobs {
-				ends[s.ReportedStatus(id)]++
+			for id := range cluster.jobs {
+				ends[cluster.ReportedStatus(id)]++
 			}
 		}
 	}
@@ -97,11 +101,11 @@
 
 // refuseControllersFor has the state service refuse some controllers alone from one time to
 // another, in seconds.
-func (c *Cluster) refuseControllersFor(from, to float64, who func(s *Cluster) []string) {
+func (c *Cluster) refuseControllersFor(from, to float64, who func(cluster *Cluster) []string) {
 	c.At(from, func() {
-		for _, n := range who(c) {
-			c.SetRefusal(n, "state", true)
-			c.At(to, func() { c.SetRefusal(n, "state", false) })
+		for _, name := range who(c) {
+			c.SetRefusal(name, "state", true)
+			c.At(to, func() { c.SetRefusal(name, "state", false) })
 		}
 	})
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -10,47 +10,47 @@
 )
 
 // NewSubmission makes a submission with the usual fields; edit changes it.
-func NewSubmission(id string, shape protocol.JobShape, tasks int, cores, estimate float64, edit func(s *protocol.Submission)) *protocol.Submission {
+func NewSubmission(id string, shape protocol.JobShape, tasks int, cores, estimate float64, edit func(submission *protocol.Submission)) *protocol.Submission {
 	p := func(s string) *string { return &s }
 	f := func(v float64) *float64 { return &v }
 	n, no := uint64(tasks), false
 	yes := true
-	s := &protocol.Submission{ID: p(id), Class: p("class"), Team: p("red"), Shape: &shape, Priority: p("standard"), Tasks: &n, Cores: f(cores),
+	submission := &protocol.Submission{ID: p(id), Class: p("class"), Team: p("red"), Shape: &shape, Priority: p("standard"), Tasks: &n, Cores: f(cores),
 		GPUs: f(0), MemoryGB: f(1), Image: p("img"), ImageGB: f(0.5), SingleZone: &no, SpreadZones: &no, AllowSpot: &yes, Estimate: f(estimate), CheckpointInterval: f(0), CheckpointDuration: f(0)}
 	if edit != nil {
-		edit(s)
+		edit(submission)
 	}
-	return s
+	return submission
 }
 
 // ServeAPI connects the controllers' outer interface to the network.
 func (c *Cluster) ServeAPI() {
 	for _, name := range c.controllerNames {
-		h := c.Controllers[name]
+		process := c.Controllers[name]
 		serve := func(method, path string, body []byte, reply func(int, any)) {
 			user := func(status int, b any, _ int) { reply(status, b) }
 			switch {
 			case path == "/v1/report":
-				r := &protocol.Report{}
-				if protocol.Decode(body, r) != nil {
+				report := &protocol.Report{}
+				if protocol.Decode(body, report) != nil {
 					reply(400, nil)
 					return
 				}
-				h.Controller.HandleHeartbeat(r, reply)
+				process.Controller.HandleHeartbeat(report, reply)
 			case method == "POST" && path == "/v2/runs":
-				h.Controller.Submit(body, 0, user)
+				process.Controller.Submit(body, 0, user)
 			case method == "POST":
-				h.Controller.Cancel(strings.TrimSuffix(strings.TrimPrefix(path, "/v2/runs/"), "/abort"), user)
+				process.Controller.Cancel(strings.TrimSuffix(strings.TrimPrefix(path, "/v2/runs/"), "/abort"), user)
 			default:
-				h.Controller.Poll(strings.TrimPrefix(path, "/v2/runs/"), user)
+				process.Controller.Poll(strings.TrimPrefix(path, "/v2/runs/"), user)
 			}
 		}
 		c.handlers[c.address("api-"+name)] = func(method, path string, body []byte, reply func(int, any)) {
-			if h.SocketsExhausted && h.running { // no free socket: the connection fails at once
+			if process.SocketsExhausted && process.running { // no free socket: the connection fails at once
 				reply(0, nil)
 				return
 			}
-			h.execute(h.incarnation, func() { serve(method, path, body, reply) })
+			process.execute(process.incarnation, func() { serve(method, path, body, reply) })
 		}
 	}
 }
@@ -68,18 +68,18 @@
 
 // Submit submits at a time given in seconds, repeats until it is accepted,
 // and then polls until the job is over.
-func (c *Cluster) Submit(at float64, sub *protocol.Submission) {
-	c.At(at, func() { c.trySubmit(sub, 0) })
+func (c *Cluster) Submit(at float64, submission *protocol.Submission) {
+	c.At(at, func() { c.trySubmit(submission, 0) })
 }
 
-func (c *Cluster) trySubmit(sub *protocol.Submission, tries int) {
-	id := *sub.ID
+func (c *Cluster) trySubmit(submission *protocol.Submission, tries int) {
+	id := *submission.ID
 	c.histories.recordSubmission(id, c.now)
-	if j, err := sub.Validate(); err == nil && c.jobs[id] == nil {
-		c.jobs[id], c.submissions[id] = j, sub
-		c.histories.job(id).maxConcurrent = maxConcurrentTasks(j, c.Settings.Team(j.Team))
+	if job, err := submission.Validate(); err == nil && c.jobs[id] == nil {
+		c.jobs[id], c.submissions[id] = job, submission
+		c.histories.job(id).maxConcurrent = maxConcurrentTasks(job, c.Settings.Team(job.Team))
 	}
-	c.request(c.address("user"), c.randomController(), "POST", "/v2/runs", sub, nil, 5*time.Second, func(status int) {
+	c.request(c.address("user"), c.randomController(), "POST", "/v2/runs", submission, nil, 5*time.Second, func(status int) {
 		switch status {
 		case 200, 201:
 			c.Trace("%s accepted", id)
@@ -98,7 +98,7 @@
 			if tries == 30 { // gives up: nobody has told them of anything
 				return
 			}
-			c.after(time.Second, func() { c.trySubmit(sub, tries+1) })
+			c.after(time.Second, func() { c.trySubmit(submission, tries+1) })
 		}
 	})
 }
@@ -201,30 +201,30 @@
 	}
 	look()
 	c.after(time.Duration(c.Settings.Deployment.Workers.Cancel*float64(time.Second)), func() {
-		c.forEachAttempt(func(w *Machine, t *attempt) {
-			if _, o := w.cluster.origin(t.TaskID); o.Job == id && t.present {
-				c.reportViolation("ran_cancelled: %s is still on %s", t, w.id)
+		c.forEachAttempt(func(machine *Machine, t *attempt) {
+			if _, o := machine.cluster.origin(t.TaskID); o.Job == id && t.present {
+				c.reportViolation("ran_cancelled: %s is still on %s", t, machine.id)
 			}
 		})
 	})
 }
 
 // recordStart checks the rules at the moment a task comes to be on a machine.
-func (c *Cluster) recordStart(w *Machine, t *attempt, job *protocol.Job) {
-	c.Trace("  %s starts %s", w.id, t)
+func (c *Cluster) recordStart(machine *Machine, t *attempt, job *protocol.Job) {
+	c.Trace("  %s starts %s", machine.id, t)
 	zones := map[string]int{}
 	cores, gpus := 0.0, 0.0
 	home, whose := c.origin(t.TaskID)
-	c.forEachAttempt(func(o *Machine, x *attempt) {
-		j := o.cluster.jobByID(x.Job)
+	c.forEachAttempt(func(other *Machine, x *attempt) {
+		j := other.cluster.jobByID(x.Job)
 		if !x.present || j == nil {
 			return
 		}
-		if _, theirs := o.cluster.origin(x.TaskID); x != t && theirs == whose {
-			c.reportViolation("ran_twice: %s on %s and %s", t, o.id, w.id)
+		if _, theirs := other.cluster.origin(x.TaskID); x != t && theirs == whose {
+			c.reportViolation("ran_twice: %s on %s and %s", t, other.id, machine.id)
 		}
 		if x.Job == t.Job {
-			zones[o.zone]++
+			zones[other.zone]++
 		}
 		if j.Team == job.Team {
 			cores += j.Cores
@@ -237,8 +237,8 @@
 	if team.CoresMax > 0 && cores > team.CoresMax+1e-9 || team.GPUsMax > 0 && gpus > team.GPUsMax+1e-9 {
 		c.reportViolation("quota: %s uses %v cores", job.Team, cores)
 	}
-	if job.SingleZone && len(zones) > 1 || job.SpreadZones && zones[w.zone] > (job.Tasks+1)/2 || w.spot && !job.AllowSpot || job.Zone != "" && job.Zone != w.zone {
-		c.reportViolation("wrong_place: %s on %s", t, w.id)
+	if job.SingleZone && len(zones) > 1 || job.SpreadZones && zones[machine.zone] > (job.Tasks+1)/2 || machine.spot && !job.AllowSpot || job.Zone != "" && job.Zone != machine.zone {
+		c.reportViolation("wrong_place: %s on %s", t, machine.id)
 	}
 	if at := home.cancelledAt[whose.Job]; at > 1 {
 		home.histories.job(whose.Job).startsAfterCancellation++
@@ -248,7 +248,7 @@
 	}
 }
 
-func (c *Cluster) recordCompletion(t agent.TaskID, w *Machine) {
+func (c *Cluster) recordCompletion(t agent.TaskID, machine *Machine) {
 	home, whose := c.origin(t)
 	if home.completedTasks == nil {
 		home.completedTasks = map[agent.TaskID]bool{}
@@ -299,11 +299,11 @@
 		n := 0
 		var left []func(cause protocol.TerminationCause)
 		for _, id := range c.machineIDs() {
-			w := c.Machines[id]
-			for _, t := range w.attempts {
+			machine := c.Machines[id]
+			for _, t := range machine.attempts {
 				if t.Job == job.ID && t.number == try && t.present {
 					n++
-					left = append(left, func(cause protocol.TerminationCause) { w.endAttempt(t, cause) })
+					left = append(left, func(cause protocol.TerminationCause) { machine.endAttempt(t, cause) })
 				}
 			}
 		}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -54,17 +54,17 @@
 func (c *Cluster) AddMachine(typ, zone string, spot bool) *Machine {
 	c.Cloud.machineCount++
 	id := c.address(fmt.Sprintf("i-%03d", c.Cloud.machineCount))
-	w := &Machine{cluster: c, id: id, zone: zone, spot: spot, rentedAt: c.now, running: true, session: 1, leaseStart: c.now}
+	machine := &Machine{cluster: c, id: id, zone: zone, spot: spot, rentedAt: c.now, running: true, session: 1, leaseStart: c.now}
 	for _, t := range c.Cloud.Types {
 		if t.Name == typ {
-			w.machineType = t
+			machine.machineType = t
 		}
 	}
-	c.Machines[id] = w
-	w.address = c.listen("w-"+id, w.serve)
-	c.after(10*time.Millisecond, w.sendReport)
-	c.after(time.Second, w.checkLease)
-	return w
+	c.Machines[id] = machine
+	machine.address = c.listen("w-"+id, machine.serve)
+	c.after(10*time.Millisecond, machine.sendReport)
+	c.after(time.Second, machine.checkLease)
+	return machine
 }
 
 // ID is the machine's name.
@@ -91,7 +91,7 @@
 
 // Reboot ends the machine and has it back under its name after a while: with no
 // tasks, no token, and numbers from the beginning.
-func (m *Machine) Reboot(d time.Duration) {
+func (m *Machine) Reboot(duration time.Duration) {
 	if m.deleted {
 		return
 	}
@@ -100,7 +100,7 @@
 	m.incarnation++
 	m.running, m.attempts = false, nil
 	m.timerGeneration++
-	m.cluster.after(d, func() {
+	m.cluster.after(duration, func() {
 		if m.deleted || m.running {
 			return
 		}
@@ -110,11 +110,11 @@
 }
 
 // AnnounceEviction announces that the machine will be taken, and takes it.
-func (m *Machine) AnnounceEviction(d time.Duration) {
+func (m *Machine) AnnounceEviction(duration time.Duration) {
 	m.cluster.Trace("%s gets a spot notice", m.id)
-	m.evictionAnnounced, m.evictionAt = true, m.cluster.now+d
+	m.evictionAnnounced, m.evictionAt = true, m.cluster.now+duration
 	m.reportSoon()
-	m.cluster.after(d, func() {
+	m.cluster.after(duration, func() {
 		if !m.deleted {
 			m.cluster.Trace("%s is taken", m.id)
 			m.remove()
@@ -142,16 +142,16 @@
 
 func (m *Machine) buildReport() *protocol.Report {
 	m.sequence++
-	r := &protocol.Report{Machine: m.id, Address: m.address, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.session, Sequence: m.sequence, FencingToken: m.token,
+	report := &protocol.Report{Machine: m.id, Address: m.address, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.session, Sequence: m.sequence, FencingToken: m.token,
 		Tasks: []protocol.TaskReport{}}
 	if m.evictionAnnounced {
 		left := max(0, (m.evictionAt - m.cluster.now).Seconds())
-		r.PreemptionNotice = &left
+		report.PreemptionNotice = &left
 	}
 	for _, t := range m.attempts {
-		r.Tasks = append(r.Tasks, protocol.TaskReport{Task: t.String(), Attempt: t.number, State: t.state, Cause: t.cause, Checkpointed: t.saved})
+		report.Tasks = append(report.Tasks, protocol.TaskReport{Task: t.String(), Attempt: t.number, State: t.state, Cause: t.cause, Checkpointed: t.saved})
 	}
-	return r
+	return report
 }
 
 // reportSoon reports soon, at most every half second.
@@ -165,10 +165,10 @@
 	})
 }
 
-func (m *Machine) reportAfter(d time.Duration) {
+func (m *Machine) reportAfter(duration time.Duration) {
 	m.timerGeneration++
 	n := m.timerGeneration
-	m.cluster.after(d, func() {
+	m.cluster.after(duration, func() {
 		if n == m.timerGeneration {
 			m.sendReport()
 		}
@@ -188,10 +188,10 @@
 	m.reporting = true
 	sent, session, life := m.cluster.now, m.session, m.incarnation
 	m.lastSent = sent
-	r := m.buildReport()
+	report := m.buildReport()
 	out := &reportAnswer{}
 	period := time.Duration(m.cluster.Settings.Deployment.Workers.Report * float64(time.Second))
-	m.cluster.request(m.address, m.cluster.apiAddress(to), "POST", "/v1/report", r, out, 4*time.Second, func(status int) {
+	m.cluster.request(m.address, m.cluster.apiAddress(to), "POST", "/v1/report", report, out, 4*time.Second, func(status int) {
 		if m.deleted || life != m.incarnation {
 			return
 		}
@@ -210,8 +210,8 @@
 				m.reportSoon()
 			}
 		case status == 421 && out.Owner != "" && out.Owner != to:
-			for i, n := range names {
-				if n == out.Owner {
+			for i, name := range names {
+				if name == out.Owner {
 					m.controllerIndex = i
 				}
 			}
@@ -266,17 +266,17 @@
 
 func (m *Machine) executeCommands(orders []protocol.Command) bool {
 	did := false
-	for _, o := range orders {
-		t := m.findAttempt(o.Task, o.Attempt)
-		switch o.Verb {
+	for _, command := range orders {
+		t := m.findAttempt(command.Task, command.Attempt)
+		switch command.Verb {
 		case protocol.CommandLaunch:
 			if t == nil {
-				m.launch(o)
+				m.launch(command)
 				did = true
 			}
 		case protocol.CommandStop:
 			if t != nil && t.state != protocol.TaskEnded {
-				m.stopTask(t, o.GraceSeconds)
+				m.stopTask(t, command.GraceSeconds)
 				did = true
 			}
 		case protocol.CommandAcknowledge:
@@ -293,9 +293,9 @@
 	return did
 }
 
-func (m *Machine) launch(o protocol.Command) {
-	key, _ := agent.ParseTaskID(o.Task)
-	t := &attempt{TaskID: key, number: o.Attempt}
+func (m *Machine) launch(command protocol.Command) {
+	key, _ := agent.ParseTaskID(command.Task)
+	t := &attempt{TaskID: key, number: command.Attempt}
 	m.attempts = append(m.attempts, t)
 	if home, whose := m.cluster.origin(key); home.cancelledAt[whose.Job] > 1 {
 		home.histories.job(whose.Job).launchesAfterCancellation++
@@ -308,12 +308,12 @@
 	}
 	cores, mem, gpus := m.machineType.Cores, m.machineType.MemoryGB, m.machineType.GPUs
 	for _, x := range m.attempts {
-		if j := m.cluster.jobByID(x.Job); x != t && x.state != protocol.TaskEnded && j != nil {
+		if job := m.cluster.jobByID(x.Job); x != t && x.state != protocol.TaskEnded && job != nil {
 			if x.TaskID == key {
 				refuse(protocol.CauseOtherAttemptPresent)
 				return
 			}
-			cores, mem, gpus = cores-j.Cores, mem-j.MemoryGB, gpus-j.GPUs
+			cores, mem, gpus = cores-job.Cores, mem-job.MemoryGB, gpus-job.GPUs
 		}
 	}
 	if cores < job.Cores-1e-9 || mem < job.MemoryGB-1e-9 || gpus < job.GPUs-1e-9 {
@@ -343,7 +343,7 @@
 
 // scheduleStep does f later unless the task has moved on or the machine is gone; a
 // hung machine goes on when it resumes.
-func (m *Machine) scheduleStep(t *attempt, d time.Duration, f func()) {
+func (m *Machine) scheduleStep(t *attempt, duration time.Duration, f func()) {
 	t.timerGeneration++
 	n := t.timerGeneration
 	var try func()
@@ -357,7 +357,7 @@
 		}
 		f()
 	}
-	m.cluster.after(d, try)
+	m.cluster.after(duration, try)
 }
 
 // ActualRuntime is how long a task really takes: a little off its estimate.
