--- a/internal/simulator/cancellation_during_failover_test.go
+++ b/internal/simulator/cancellation_during_failover_test.go
@@ -55,7 +55,7 @@
 					if i%3 == 0 { // begins just then
 						submit = moment - 0.4
 					}
-					cluster.Submit(submit, NewSubmission(id, protocol.ShapeArray, tasks, 0.5, 90, nil))
+					cluster.Submit(submit, NewSubmission(id, protocol.ShapeArray, tasks, 0.5, 90))
 					cluster.Cancel(moment, id)
 				}
 				handOvers[how](cluster, at)
--- a/internal/simulator/clock.go
+++ b/internal/simulator/clock.go
@@ -3,14 +3,18 @@
 import (
 	"container/heap"
 	"time"
+
+	"curlewspool/internal/env"
 )
 
+// event is something that happens at a moment of simulated time.
 type event struct {
 	at       time.Duration
-	sequence int
+	sequence int // order of events of the same moment
 	run      func()
 }
 
+// eventQueue is a heap of events, the earliest first; see container/heap.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -21,32 +25,39 @@
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
+// Push appends an event; part of heap.Interface.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
+// Pop removes the last event; part of heap.Interface.
 func (q *eventQueue) Pop() any {
 	old := *q
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return x
+	return last
 }
 
-func (n *Network) schedule(t time.Duration, f func()) {
+// schedule runs f at a moment of simulated time.
+func (n *Network) schedule(at time.Duration, f func()) {
 	n.eventCount++
-	heap.Push(&n.queue, event{t, n.eventCount, f})
+	heap.Push(&n.queue, event{at: at, sequence: n.eventCount, run: f})
 }
 
-func (n *Network) after(duration time.Duration, f func()) { n.schedule(n.now+max(duration, 0), f) }
+// after runs f when a delay has passed; a negative one counts as none.
+func (n *Network) after(delay time.Duration, f func()) { n.schedule(n.now+max(delay, 0), f) }
 
-// At does something at a time given in seconds.
-func (n *Network) At(sec float64, f func()) { n.schedule(time.Duration(sec*float64(time.Second)), f) }
+// At runs f at a time given in seconds since the start.
+func (n *Network) At(seconds float64, f func()) { n.schedule(env.Seconds(seconds), f) }
 
-// Run plays until a time given in seconds.
+// Run plays all events up to a time given in seconds since the start.
 func (n *Network) Run(until float64) {
-	end := time.Duration(until * float64(time.Second))
+	end := env.Seconds(until)
 	for len(n.queue) > 0 && n.queue[0].at <= end {
-		e := heap.Pop(&n.queue).(event)
-		n.now = e.at
-		e.run()
+		next := n.popEvent()
+		n.now = next.at
+		next.run()
 	}
 	n.now = end
 }
+
+// popEvent takes the earliest event off the queue.
+func (n *Network) popEvent() event { return heap.Pop(&n.queue).(event) }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -1,118 +1,198 @@
 package simulator
 
 import (
-	"fmt"
+	"net/http"
 	"strings"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
-// Cloud is a stand-in for the cloud.
+// Paths of the cloud.
+const (
+	pathCatalog       = "/catalog"
+	pathRentals       = "/rentals"
+	pathDeleteRentals = "/rentals/delete"
+	pathRentalListing = "/rentals?"
+)
+
+// maxMachinesRented is how many machines one request may ask for.
+const maxMachinesRented = 50
+
+// A machine takes 0.8 to 1.2 times its type's time to boot.
+const (
+	minBootTimeFactor  = 0.8
+	bootTimeFactorSpan = 0.4
+)
+
+// Offer is what the cloud has machines of: a type in a zone, spot or not.
+type Offer struct {
+	Type, Zone string
+	Spot       bool
+}
+
+// Cloud simulates the cloud that rents machines out.
 type Cloud struct {
-	cluster        *Cluster
-	Address        string
-	Types          []protocol.MachineType
-	Capacity       map[string]int // by "type/zone/spot"
-	machineCount   int
-	rentals        map[string][]string
-	RequestIDs     []string // requests seen, in order
-	BootTimeFactor float64  // times as long as usual that machines take to boot; 0: as usual
-	FailingBoots   int      // so many of the next machines never come up
-	callLimit      rateLimit
+	Address string
+	Types   []protocol.MachineType
+	// Capacity is how many more machines there are to rent.
+	Capacity map[Offer]int
+	// RequestIDs are the ids of the rental requests, in order of arrival.
+	RequestIDs []string
+	// BootTimeFactor is how many times as long as usual machines take to boot; 0: as usual.
+	BootTimeFactor float64
+	// FailingBoots is how many of the next machines never come up.
+	FailingBoots int
+
+	cluster      *Cluster
+	machineCount int
+	rentals      map[string][]string // machine ids by request id
+	callLimit    rateLimit
 }
 
 func newCloud(cluster *Cluster) *Cloud {
-	c := &Cloud{cluster: cluster, Capacity: map[string]int{}, rentals: map[string][]string{}, Types: []protocol.MachineType{
-		{Name: "small", Cores: 4, MemoryGB: 16, CacheGB: 50, FetchGBPerSecond: 1, OnDemandPrice: 0.4, SpotPrice: 0.1, BootSeconds: 10, Zones: []string{"a", "b"}},
-		{Name: "big", Cores: 16, GPUs: 4, MemoryGB: 64, CacheGB: 50, FetchGBPerSecond: 1, OnDemandPrice: 2, SpotPrice: 0.6, BootSeconds: 10, Zones: []string{"a", "b"}},
-	}}
-	c.callLimit = newRateLimit(cluster.Settings.Deployment.Cloud.RPS, 2*cluster.Settings.Deployment.Cloud.RPS)
-	c.Address = cluster.listen(cluster.address("cloud"), c.serve)
-	return c
+	callsPerSecond := cluster.Settings.Deployment.Cloud.RPS
+	cloud := &Cloud{
+		cluster:   cluster,
+		Types:     defaultMachineTypes(),
+		Capacity:  map[Offer]int{},
+		rentals:   map[string][]string{},
+		callLimit: newRateLimit(callsPerSecond, 2*callsPerSecond),
+	}
+	cloud.Address = cluster.listen(cluster.address(cloudHost), cloud.serve)
+	return cloud
+}
+
+func defaultMachineTypes() []protocol.MachineType {
+	small := protocol.MachineType{
+		Name:             "small",
+		Cores:            4,
+		MemoryGB:         16,
+		CacheGB:          50,
+		FetchGBPerSecond: 1,
+		OnDemandPrice:    0.4,
+		SpotPrice:        0.1,
+		BootSeconds:      10,
+		Zones:            []string{"a", "b"},
+	}
+	big := small
+	big.Name = "big"
+	big.Cores = 16
+	big.GPUs = 4
+	big.MemoryGB = 64
+	big.OnDemandPrice = 2
+	big.SpotPrice = 0.6
+	return []protocol.MachineType{small, big}
 }
 
-func (c *Cloud) serve(method, path string, body []byte, reply func(int, any)) {
+func (c *Cloud) serve(method, path string, body []byte, reply replyFunc) {
 	if !c.callLimit.take(c.cluster.now, 1) {
-		reply(429, nil)
+		reply(http.StatusTooManyRequests, nil)
 		return
 	}
 	switch {
-	case path == "/catalog":
-		reply(200, &protocol.Catalog{MachineTypes: c.Types})
-	case method == "POST" && path == "/rentals":
-		var r protocol.RentalRequest
-		if protocol.Decode(body, &r) != nil || r.Count < 1 || r.Count > 50 {
-			reply(400, nil)
-			return
-		}
-		c.RequestIDs = append(c.RequestIDs, r.RequestID)
-		if got, ok := c.rentals[r.RequestID]; ok {
-			reply(200, &protocol.MachineIDList{Machines: got})
-			return
-		}
-		key := fmt.Sprintf("%s/%s/%v", r.Type, r.Zone, r.Spot)
-		n := min(r.Count, c.Capacity[key])
-		if n == 0 {
-			reply(503, responseFields{"error": "no capacity"})
-			return
-		}
-		c.Capacity[key] -= n
-		var ids []string
-		for i := 0; i < n; i++ {
-			ids = append(ids, c.bootMachine(r.Type, r.Zone, r.Spot))
-		}
-		c.rentals[r.RequestID] = ids
-		c.cluster.Trace("rented %s in %s spot=%v: %s", r.Type, r.Zone, r.Spot, strings.Join(ids, " "))
-		reply(200, &protocol.MachineIDList{Machines: ids})
-	case path == "/rentals/delete":
-		var m protocol.MachineIDList
-		if protocol.Decode(body, &m) != nil {
-			reply(400, nil)
-			return
-		}
-		for _, id := range m.Machines {
-			if machine := c.cluster.Machines[id]; machine != nil && !machine.deleted {
-				c.cluster.Trace("deleted %s", id)
-				machine.remove()
-				c.Capacity[fmt.Sprintf("%s/%s/%v", machine.machineType.Name, machine.zone, machine.spot)]++
-			}
-		}
-		reply(200, responseFields{})
-	case strings.HasPrefix(path, "/rentals?"):
-		out := protocol.MachineList{Machines: []protocol.ListedMachine{}}
-		for _, id := range c.cluster.machineIDs() {
-			machine := c.cluster.Machines[id]
-			if machine.deleted {
-				continue
-			}
-			state := protocol.MachineRunning
-			if !machine.running {
-				state = protocol.MachineStarting
-			}
-			out.Machines = append(out.Machines, protocol.ListedMachine{ID: id, Address: machine.address, Type: machine.machineType.Name, Zone: machine.zone,
-				Spot: machine.spot, Status: state, AgeSeconds: (c.cluster.now - machine.rentedAt).Seconds()})
-		}
-		reply(200, &out)
+	case path == pathCatalog:
+		reply(http.StatusOK, &protocol.Catalog{MachineTypes: c.Types})
+	case method == http.MethodPost && path == pathRentals:
+		c.rent(body, reply)
+	case path == pathDeleteRentals:
+		c.deleteMachines(body, reply)
+	case strings.HasPrefix(path, pathRentalListing):
+		reply(http.StatusOK, c.listMachines())
 	default:
-		reply(400, nil)
+		reply(http.StatusBadRequest, nil)
 	}
 }
 
-func (c *Cloud) bootMachine(typ, zone string, spot bool) string {
-	machine := c.cluster.AddMachine(typ, zone, spot)
+// rent boots machines, as many as there are of those asked for. A repeated request gets
+// the answer of the first.
+func (c *Cloud) rent(body []byte, reply replyFunc) {
+	var request protocol.RentalRequest
+	if protocol.Decode(body, &request) != nil || request.Count < 1 || request.Count > maxMachinesRented {
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	c.RequestIDs = append(c.RequestIDs, request.RequestID)
+	if rented, ok := c.rentals[request.RequestID]; ok {
+		reply(http.StatusOK, &protocol.MachineIDList{Machines: rented})
+		return
+	}
+	offer := Offer{Type: request.Type, Zone: request.Zone, Spot: request.Spot}
+	count := min(request.Count, c.Capacity[offer])
+	if count == 0 {
+		reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "no capacity"})
+		return
+	}
+	c.Capacity[offer] -= count
+	var ids []string
+	for range count {
+		ids = append(ids, c.bootMachine(offer))
+	}
+	c.rentals[request.RequestID] = ids
+	c.cluster.Trace("rented %s in %s spot=%v: %s", offer.Type, offer.Zone, offer.Spot, strings.Join(ids, " "))
+	reply(http.StatusOK, &protocol.MachineIDList{Machines: ids})
+}
+
+// bootMachine adds a machine that comes up when it has booted, and returns its id.
+func (c *Cloud) bootMachine(offer Offer) string {
+	machine := c.cluster.AddMachine(offer.Type, offer.Zone, offer.Spot)
 	machine.running = false
-	boot := time.Duration(machine.machineType.BootSeconds * (0.8 + 0.4*c.cluster.random.Float64()) * orOne(c.BootTimeFactor) * float64(time.Second))
+	factor := minBootTimeFactor + bootTimeFactorSpan*c.cluster.random.Float64()
+	boot := time.Duration(machine.machineType.BootSeconds * factor * factorOrOne(c.BootTimeFactor) * float64(time.Second))
 	if c.FailingBoots > 0 {
 		c.FailingBoots--
 		return machine.id
 	}
 	c.cluster.after(boot, func() {
-		if !machine.deleted {
-			machine.running = true
-			machine.session, machine.leaseStart = 1, c.cluster.now
-			machine.sendReport()
+		if machine.deleted {
+			return
 		}
+		machine.running = true
+		machine.session = 1
+		machine.leaseStart = c.cluster.now
+		machine.sendReport()
 	})
 	return machine.id
 }
+
+func (c *Cloud) deleteMachines(body []byte, reply replyFunc) {
+	var request protocol.MachineIDList
+	if protocol.Decode(body, &request) != nil {
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	for _, id := range request.Machines {
+		machine := c.cluster.Machines[id]
+		if machine == nil || machine.deleted {
+			continue
+		}
+		c.cluster.Trace("deleted %s", id)
+		machine.remove()
+		c.Capacity[Offer{Type: machine.machineType.Name, Zone: machine.zone, Spot: machine.spot}]++
+	}
+	reply(http.StatusOK, &emptyResponse{})
+}
+
+func (c *Cloud) listMachines() *protocol.MachineList {
+	list := &protocol.MachineList{Machines: []protocol.ListedMachine{}}
+	for _, id := range c.cluster.machineIDs() {
+		machine := c.cluster.Machines[id]
+		if machine.deleted {
+			continue
+		}
+		status := protocol.MachineRunning
+		if !machine.running {
+			status = protocol.MachineStarting
+		}
+		list.Machines = append(list.Machines, protocol.ListedMachine{
+			ID:         id,
+			Address:    machine.address,
+			Type:       machine.machineType.Name,
+			Zone:       machine.zone,
+			Spot:       machine.spot,
+			Status:     status,
+			AgeSeconds: (c.cluster.now - machine.rentedAt).Seconds(),
+		})
+	}
+	return list
+}
--- a/internal/simulator/consistent_answers_test.go
+++ b/internal/simulator/consistent_answers_test.go
@@ -22,20 +22,20 @@
 		"none":                  func(*Cluster, *rand.Rand) {},
 		"changes are told late": func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor("/changes", random, 6, 40, 2) },
 		"transactions slow":     func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor("/multi", random, 6, 40, 1.5) },
-		"answers lost": func(cluster *Cluster, random *rand.Rand) {
+		"answers lost": func(cluster *Cluster, _ *rand.Rand) {
 			cluster.delayRequestsFor(6, 40, 0.4, 0.001, 0.002, "/multi")
 		},
-		"written late": func(cluster *Cluster, random *rand.Rand) { cluster.delayRequestsFor(6, 40, 0.2, 2, 12, "/multi") },
-		"leaders end": func(cluster *Cluster, random *rand.Rand) {
+		"written late": func(cluster *Cluster, _ *rand.Rand) { cluster.delayRequestsFor(6, 40, 0.2, 2, 12, "/multi") },
+		"leaders end": func(cluster *Cluster, _ *rand.Rand) {
 			cluster.restartQuickly(10, 0.3, cluster.leaderProcess)
 			cluster.restartQuickly(16, 0.3, cluster.nonLeaderOwner)
 			cluster.restartQuickly(22, 4, cluster.leaderProcess)
 		},
-		"one controller refused": func(cluster *Cluster, random *rand.Rand) { cluster.refuseControllersFor(8, 24, leaderOnly) },
-		"one controller isolated": func(cluster *Cluster, random *rand.Rand) {
+		"one controller refused": func(cluster *Cluster, _ *rand.Rand) { cluster.refuseControllersFor(8, 24, leaderOnly) },
+		"one controller isolated": func(cluster *Cluster, _ *rand.Rand) {
 			cluster.At(9, func() { cluster.after(15*time.Second, cluster.IsolateController(cluster.leaderProcess().name)) })
 		},
-		"one controller frozen": func(cluster *Cluster, random *rand.Rand) {
+		"one controller frozen": func(cluster *Cluster, _ *rand.Rand) {
 			cluster.At(9, func() { cluster.nonLeaderOwner().Pause(9*time.Second, true) })
 		},
 		"cancellations not passed": func(cluster *Cluster, random *rand.Rand) {
@@ -54,7 +54,7 @@
 				if i%5 == 4 {
 					shape, tasks = protocol.ShapeGang, 2
 				}
-				cluster.Submit(6+1.5*float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), shape, tasks, 1, 1+6*random.Float64(), nil))
+				cluster.Submit(6+1.5*float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), shape, tasks, 1, 1+6*random.Float64()))
 			}
 			cluster.pollEveryController(random, 0.3)
 			cluster.OnRequest = func(from, _, path string) {
--- a/internal/simulator/controller_failure_test.go
+++ b/internal/simulator/controller_failure_test.go
@@ -12,7 +12,7 @@
 func TestControllerFailsAndReturns(t *testing.T) {
 	cluster := playTraced(t, "controller-lost", 2, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
 		cluster.At(15, func() { cluster.Controllers["n1"].Crash() })
 		cluster.At(18, func() { cluster.Controllers["n1"].Start() })
 	})
@@ -26,7 +26,7 @@
 func TestControllerFailsForGood(t *testing.T) {
 	cluster := playTraced(t, "controller-away", 3, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
 		cluster.At(12, func() { cluster.Controllers["n0"].Crash() })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
@@ -39,8 +39,8 @@
 func TestAllControllersCrash(t *testing.T) {
 	cluster := playTraced(t, "all-crash", 4, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
-		cluster.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
+		cluster.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5))
 		cluster.At(20, func() {
 			for _, name := range []string{"n0", "n1", "n2"} {
 				cluster.Controllers[name].Crash()
@@ -55,8 +55,8 @@
 func TestRollingRestart(t *testing.T) {
 	cluster := playTraced(t, "rolling-restart", 16, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
+		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 		for i, name := range []string{"n0", "n1", "n2"} {
 			cluster.At(10+8*float64(i), func() { cluster.Controllers[name].Crash() })
 			cluster.At(13+8*float64(i), func() { cluster.Controllers[name].Start() })
@@ -74,7 +74,7 @@
 func TestOwnerFailsBetweenGangLaunches(t *testing.T) {
 	cluster := playTraced(t, "half-a-gang", 61, 60, func(cluster *Cluster) {
 		machines := addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10))
 		launches := 0
 		cluster.OnRequest = func(from, _, path string) {
 			if cluster.now < 5*time.Second || !strings.Contains(path, "/orders") {
@@ -101,9 +101,9 @@
 func TestControllersPartitionedFromEachOther(t *testing.T) {
 	cluster := playTraced(t, "peers-refused", 21, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
-		pairs := [][2]string{{"n0", "n1"}, {"n0", "n2"}, {"n1", "n2"}}
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
+		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
+		pairs := []link{{"n0", "n1"}, {"n0", "n2"}, {"n1", "n2"}}
 		cluster.cutLinksFor(12, 42, pairs)
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
@@ -117,8 +117,8 @@
 func TestControllerRefusedByStateService(t *testing.T) {
 	cluster := playTraced(t, "refused-alone", 22, 110, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 50, nil))
-		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 50))
+		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 		cluster.At(12, func() { cluster.SetRefusal("n1", "state", true) })
 		cluster.At(52, func() { cluster.SetRefusal("n1", "state", false) })
 	})
@@ -134,10 +134,10 @@
 func TestOwnerPartitionedFromMachines(t *testing.T) {
 	cluster := playTraced(t, "deaf-owner", 35, 150, func(cluster *Cluster) {
 		machines := addMachines(cluster, 9, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 60, nil))
-		var pairs [][2]string
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 60))
+		var pairs []link
 		for _, machine := range machines {
-			pairs = append(pairs, [2]string{machine.Address(), "n1"}, [2]string{machine.Address(), "api-n1"})
+			pairs = append(pairs, link{machine.Address(), "n1"}, link{machine.Address(), "api-n1"})
 		}
 		cluster.cutLinksFor(14, 60, pairs)
 	})
--- a/internal/simulator/controller_pause_test.go
+++ b/internal/simulator/controller_pause_test.go
@@ -13,8 +13,8 @@
 func TestBriefControllerPause(t *testing.T) {
 	cluster := playTraced(t, "frozen-moment", 31, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
-		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
+		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 		cluster.At(12, func() { cluster.leaderProcess().Pause(3*time.Second, true) })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
@@ -30,8 +30,8 @@
 	for name, who := range map[string]func(*Cluster) *ControllerProcess{"frozen-leader": (*Cluster).leaderProcess, "frozen-owner": (*Cluster).nonLeaderOwner} {
 		cluster := playTraced(t, name, 32, 120, func(cluster *Cluster) {
 			addMachines(cluster, 6, 0)
-			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40, nil))
-			cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40))
+			cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 			cluster.Cancel(20, "wk-2")
 			cluster.At(12, func() { who(cluster).Pause(25*time.Second, true) })
 		})
@@ -49,10 +49,10 @@
 func TestControllerResumesDuringStateOutage(t *testing.T) {
 	cluster := playTraced(t, "frozen-into-outage", 33, 150, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 		cluster.At(12, func() { cluster.leaderProcess().Pause(9*time.Second, false) })
 		cluster.At(18, func() { cluster.State.StartOutage(10 * time.Second) })
-		cluster.Submit(19, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.Submit(19, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 		cluster.Cancel(20, "wk-1")
 	})
 	expectStatus(t, cluster, protocol.JobCancelled, "wk-1")
@@ -63,12 +63,12 @@
 func TestAllControllersPaused(t *testing.T) {
 	cluster := playTraced(t, "frozen-all", 34, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 		for _, name := range cluster.controllerNames {
 			cluster.At(12, func() { cluster.Controllers[name].Pause(7*time.Second, name != "n1") })
 		}
 		for i := 2; i < 8; i++ {
-			cluster.Submit(12+float64(i)/4, NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 5, nil))
+			cluster.Submit(12+float64(i)/4, NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 5))
 		}
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-7")
@@ -100,11 +100,11 @@
 			cluster := NewCluster(uint64(100 + 24*i + variant))
 			cluster.ServeAPI()
 			machines := addMachines(cluster, 5, 0)
-			cluster.Cloud.Capacity["small/a/false"] = 3
-			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 20, 1, 20, nil))
-			cluster.Submit(8.5, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 10, nil))
-			cluster.Submit(9, NewSubmission("wk-3", protocol.ShapeArray, 30, 1, 8, nil))
-			cluster.Submit(9.5, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 8, nil))
+			cluster.Cloud.Capacity[Offer{"small", "a", false}] = 3
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 20, 1, 20))
+			cluster.Submit(8.5, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 10))
+			cluster.Submit(9, NewSubmission("wk-3", protocol.ShapeArray, 30, 1, 8))
+			cluster.Submit(9.5, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 8))
 			cluster.Cancel(12, "wk-4")
 			var who *ControllerProcess
 			done := false
--- a/internal/simulator/delayed_writes_test.go
+++ b/internal/simulator/delayed_writes_test.go
@@ -48,7 +48,7 @@
 			cluster := NewCluster(uint64(900 + 10*i + k))
 			cluster.ServeAPI()
 			machines := submitStandardLoad(cluster)
-			cluster.Cloud.Capacity["small/a/false"] = 3
+			cluster.Cloud.Capacity[Offer{"small", "a", false}] = 3
 			cluster.DelayedRequests = append(cluster.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
 				var x protocol.Transaction
 				if path != "/multi" || cluster.now < 7*time.Second || cluster.now > 37*time.Second || protocol.Decode(body, &x) != nil {
@@ -62,12 +62,12 @@
 				}
 				return 0, false
 			})
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 12, 1, 8, nil))
-			cluster.Submit(10, NewSubmission("wk-5", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
-			cluster.Submit(12, NewSubmission("wk-6", protocol.ShapeArray, 30, 1, 6, nil))
-			cluster.Submit(15, NewSubmission("wk-7", protocol.ShapeArray, 6, 1, 40, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 12, 1, 8))
+			cluster.Submit(10, NewSubmission("wk-5", protocol.ShapeGang, 5, 4, 6)) // larger than a part
+			cluster.Submit(12, NewSubmission("wk-6", protocol.ShapeArray, 30, 1, 6))
+			cluster.Submit(15, NewSubmission("wk-7", protocol.ShapeArray, 6, 1, 40))
 			cluster.Cancel(20, "wk-7")
-			cluster.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}}) // signs of life
+			cluster.cutLinksFor(9, 30, []link{{"n0", "n2"}}) // signs of life
 			cluster.At(11, func() { cluster.SetRefusal("n1", "state", true) })
 			cluster.At(17, func() { cluster.SetRefusal("n1", "state", false) })
 			cluster.At(14, func() { machines[5].Die() })
@@ -137,7 +137,7 @@
 		cluster := NewCluster(seed)
 		cluster.ServeAPI()
 		addMachines(cluster, 3, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 14, 1, 60, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 14, 1, 60))
 		late := cluster.delayWritesFor(5, 6.5, 1, 9, 9, func(o []protocol.Mutation) bool { return puts(o, "a/p/wk-1") })
 		var machine *Machine
 		cluster.At(7, func() { machine = cluster.AddMachine("small", "a", false) })
@@ -147,7 +147,7 @@
 			}
 			cluster.Trace("%s is out of reach", machine.id)
 			for _, pair := range cluster.machineLinks(machine) {
-				cluster.cutLink(pair[0], pair[1])
+				cluster.cutLink(pair.from, pair.to)
 			}
 			for _, name := range cluster.controllerNames {
 				cluster.Controllers[name].Crash()
@@ -158,7 +158,7 @@
 			}
 			cluster.after(40*time.Second, func() {
 				for _, pair := range cluster.machineLinks(machine) {
-					cluster.healLink(pair[0], pair[1])
+					cluster.healLink(pair.from, pair.to)
 				}
 			})
 		})
@@ -183,17 +183,17 @@
 		cluster := NewCluster(uint64(1460 + i))
 		cluster.ServeAPI()
 		addMachines(cluster, 3, 0)
-		submission := NewSubmission("wk-1", protocol.ShapeArray, 2, 1, 5, nil)
+		submission := NewSubmission("wk-1", protocol.ShapeArray, 2, 1, 5)
 		cluster.Submit(5, submission)
 		late := cluster.delayWritesFor(6, 40, 1, 1, 4, func(o []protocol.Mutation) bool {
 			var f shard.FinalRecord
 			return puts(o, "d/") && protocol.Decode(o[0].Value, &f) == nil && f.Status == protocol.JobCancelled
 		})
 		cluster.OnJobCompleted = func(string) { // while its end is being stored, and before and after
-			cluster.after(time.Duration(i)*2*time.Millisecond, func() { cluster.repeatRequest(cluster.controllerNames[i%3], "cancel", submission) })
+			cluster.after(time.Duration(i)*2*time.Millisecond, func() { cluster.repeatRequest(cluster.controllerNames[i%3], cancelAgain, submission) })
 		}
 		for k := range 40 {
-			cluster.At(12+float64(k)/4, func() { cluster.repeatRequest(cluster.controllerNames[k%3], "ask", submission) })
+			cluster.At(12+float64(k)/4, func() { cluster.repeatRequest(cluster.controllerNames[k%3], pollAgain, submission) })
 		}
 		cluster.Start()
 		cluster.Run(40)
@@ -236,8 +236,8 @@
 		for _, violation := range cluster.Violations {
 			t.Errorf("seed %d: rule broken: %s", seed, violation)
 		}
-		for id, at := range cluster.cancelledAt {
-			if history := cluster.histories.job(id); at > 1 && history.startsAfterCancellation > 0 {
+		for id, cancelled := range cluster.cancellations {
+			if history := cluster.histories.job(id); cancelled.isConfirmed() && history.startsAfterCancellation > 0 {
 				t.Errorf("seed %d: %d tasks of %s began after its cancellation", seed, history.startsAfterCancellation, id)
 			}
 		}
@@ -256,7 +256,7 @@
 	playTraced(t, "late-transactions", 6, 150, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
-			cluster.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14, nil))
+			cluster.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14))
 		}
 		cluster.At(13, func() { cluster.CutLink("n0", "state") })
 		cluster.Cancel(15, "wk-2")
--- a/internal/simulator/dependency_scenarios_test.go
+++ b/internal/simulator/dependency_scenarios_test.go
@@ -13,32 +13,32 @@
 // Jobs that need others, each day short enough to be read.
 func TestDependencyScenarios(t *testing.T) {
 	runScenarios(t, "pipeline-", 3100, 160, 60, nil, []scenario{
-		{"diamond", func(cluster *Cluster, machines []*Machine) []string { return cluster.submitPipeline(8, "wk-p") }, nil},
+		{"diamond", func(cluster *Cluster, _ []*Machine) []string { return cluster.submitPipeline(8, "wk-p") }, nil},
 		// The last stage comes when the others are over; another when they are long over.
-		{"last-stage-late", func(cluster *Cluster, machines []*Machine) []string {
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, nil))
+		{"last-stage-late", func(cluster *Cluster, _ []*Machine) []string {
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4))
 			cluster.Submit(25, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
 			cluster.Submit(80, NewSubmission("wk-6", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4", "wk-5", "wk-4")))
 			return []string{"wk-4", "wk-5", "wk-6"}
 		}, nil},
 		// The first stage is cancelled while it runs; a stage that needs one of those that go
 		// with it is submitted later, and goes at once.
-		{"cancelled-root", func(cluster *Cluster, machines []*Machine) []string {
+		{"cancelled-root", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.submitPipeline(8, "wk-p")
 			cluster.Cancel(10, "wk-p-first")
 			cluster.Submit(40, NewSubmission("wk-p-late", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-p-last")))
 			return nil
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			expectStatus(t, cluster, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last", "wk-p-late")
 		}},
 		// What is done stays done: an abort that is answered so lets the rest go on.
-		{"cancelled-too-late", func(cluster *Cluster, machines []*Machine) []string {
+		{"cancelled-too-late", func(cluster *Cluster, _ []*Machine) []string {
 			ids := cluster.submitPipeline(8, "wk-p")
 			cluster.Cancel(24, "wk-p-first")
 			return ids
 		}, nil},
 		// The leader ends as the first stage does; all end as the second does.
-		{"leaders-end-at-the-release", func(cluster *Cluster, machines []*Machine) []string {
+		{"leaders-end-at-the-release", func(cluster *Cluster, _ []*Machine) []string {
 			ended := 0
 			cluster.OnJobCompleted = func(id string) {
 				switch ended++; id {
@@ -52,27 +52,27 @@
 		}, nil},
 		// The root is cancelled; a moment later the state service is down for longer than
 		// cancel_s, and one controller never hears of the cancellation.
-		{"cancelled-then-down", func(cluster *Cluster, machines []*Machine) []string {
+		{"cancelled-then-down", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.DropCancellationNotices = true
 			cluster.submitPipeline(8, "wk-p")
 			cluster.Cancel(11, "wk-p-first")
 			cluster.At(11.1, func() { cluster.State.StartOutage(45 * time.Second) })
 			return nil
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			expectStatus(t, cluster, protocol.JobCancelled, "wk-p-first", "wk-p-left", "wk-p-right", "wk-p-join", "wk-p-last")
 		}},
 		// A needed job fails on every machine: those that need it wait until its user gives up.
-		{"needed-job-fails-everywhere", func(cluster *Cluster, machines []*Machine) []string {
+		{"needed-job-fails-everywhere", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.FailingJobs = map[string]bool{"wk-4": true}
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 4, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 4))
 			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 3, DependsOn("wk-4")))
 			cluster.Cancel(50, "wk-4")
 			return nil
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			expectStatus(t, cluster, protocol.JobCancelled, "wk-4", "wk-5")
 		}},
 		// The zones are cut apart as the first stage ends: the second one's parts are in both.
-		{"zones-apart-at-the-release", func(cluster *Cluster, machines []*Machine) []string {
+		{"zones-apart-at-the-release", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(18, func() { cluster.At(40, cluster.PartitionZone("b")) })
 			return cluster.submitPipeline(8, "wk-p")
 		}, nil},
--- a/internal/simulator/dependency_test.go
+++ b/internal/simulator/dependency_test.go
@@ -17,17 +17,17 @@
 	cluster := NewCluster(3300)
 	cluster.ServeAPI()
 	addMachines(cluster, 3, 0)
-	cluster.Submit(5, NewSubmission("wk-done", protocol.ShapeArray, 1, 1, 2, nil))
-	cluster.Submit(5, NewSubmission("wk-runs", protocol.ShapeArray, 1, 1, 300, nil))
-	cluster.Submit(5, NewSubmission("wk-gone", protocol.ShapeArray, 1, 1, 300, nil))
-	cluster.Submit(5, NewSubmission("wk-serves", protocol.ShapeService, 1, 1, 0, nil))
+	cluster.Submit(5, NewSubmission("wk-done", protocol.ShapeArray, 1, 1, 2))
+	cluster.Submit(5, NewSubmission("wk-runs", protocol.ShapeArray, 1, 1, 300))
+	cluster.Submit(5, NewSubmission("wk-gone", protocol.ShapeArray, 1, 1, 300))
+	cluster.Submit(5, NewSubmission("wk-serves", protocol.ShapeService, 1, 1, 0))
 	cluster.Cancel(8, "wk-gone")
 	type answer struct {
 		status int
 		state  protocol.JobStatus
 	}
 	var body map[string]any
-	if err := protocol.Decode(protocol.Encode(NewSubmission("wk-x", protocol.ShapeArray, 1, 0.1, 2, nil)), &body); err != nil {
+	if err := protocol.Decode(protocol.Encode(NewSubmission("wk-x", protocol.ShapeArray, 1, 0.1, 2)), &body); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
@@ -73,7 +73,7 @@
 	ask(31, "wk-6", nil, answer{200, protocol.JobCancelled})
 	// A needed job that another controller accepted a moment before, whose news are late.
 	cluster.delayResponsesFor("/changes", cluster.random, 34, 40, 3)
-	cluster.Submit(35, NewSubmission("wk-new", protocol.ShapeArray, 1, 1, 2, nil))
+	cluster.Submit(35, NewSubmission("wk-new", protocol.ShapeArray, 1, 1, 2))
 	for i := range 3 {
 		ask(35.1+float64(i)/20, "wk-after-new", []string{"wk-new"}, pending, answer{200, protocol.JobPending}, answer{503, ""})
 	}
@@ -96,7 +96,7 @@
 	cluster := NewCluster(3320)
 	cluster.ServeAPI()
 	addMachines(cluster, 3, 0)
-	cluster.Submit(5, NewSubmission("wk-a", protocol.ShapeArray, 1, 1, 2, nil))
+	cluster.Submit(5, NewSubmission("wk-a", protocol.ShapeArray, 1, 1, 2))
 	cluster.Submit(6, NewSubmission("wk-b", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-a")))
 	asked, over := 0, false
 	cluster.OnRequest = func(_, _, path string) {
@@ -139,7 +139,7 @@
 				}
 			})
 		}
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 1, 1, 2, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 1, 1, 2))
 		var early, late int
 		for i := range 10 {
 			cluster.At(10+float64(i)/10, func() {
--- a/internal/simulator/early_takeover_test.go
+++ b/internal/simulator/early_takeover_test.go
@@ -20,10 +20,8 @@
 		cluster := NewCluster(seed)
 		cluster.ServeAPI()
 		machines := addMachines(cluster, 9, 0)
-		for _, name := range cluster.controllerNames {
-			cluster.Controllers[name].settings.Dispatch.Anywhere = 0
-		}
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 3, 1, 4, nil))
+		cluster.placeSingleTasksAnywhere()
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 3, 1, 4))
 		var old *ControllerProcess
 		taker, k := "", int32(0)
 		cluster.At(11, func() {
@@ -47,14 +45,14 @@
 				return 0, cluster.now < 15*time.Second && from == old.name && strings.HasPrefix(path, "/changes")
 			})
 		})
-		cluster.Submit(11.05, NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 4, nil)) // ends the watch that is open
+		cluster.Submit(11.05, NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 4)) // ends the watch that is open
 		cluster.At(11.5, func() {
 			cluster.Controllers[taker].Controller.HandlePeerMessage(&peermsg.Envelope{From: cluster.leaderProcess().name, Body: &peermsg.Envelope_ShardAssignment{ShardAssignment: &peermsg.ShardAssignment{Shard: k}}})
 		})
 		for i := range 6 {
 			id := fmt.Sprintf("wk-s%d", i)
 			cluster.At(11.55+float64(i)/20, func() {
-				submission := NewSubmission(id, protocol.ShapeArray, 1, 1, 20, nil)
+				submission := NewSubmission(id, protocol.ShapeArray, 1, 1, 20)
 				cluster.jobs[id], _ = submission.Validate()
 				cluster.request("user", cluster.apiAddress(old.name), "POST", "/v2/runs", submission, nil, 5*time.Second, func(status int) {
 					cluster.Trace("%s accepted: %d", id, status)
--- a/internal/simulator/election_test.go
+++ b/internal/simulator/election_test.go
@@ -64,8 +64,8 @@
 			cluster.At(11, func() {
 				cluster.after(time.Duration(length*float64(time.Second)), cluster.IsolateController(who(cluster)[0]))
 			})
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 90, nil))
-			cluster.Submit(16, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 90))
+			cluster.Submit(16, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6))
 			cluster.Cancel(12.5, "wk-4")
 			cluster.Start()
 			cluster.Run(200)
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -16,10 +16,10 @@
 		machines := addMachines(cluster, 8, 0)
 		machines[2].Faulty = true
 		cluster.FailingJobs = map[string]bool{"wk-1": true, "wk-2": true}
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20, nil))
-		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 20, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20))
+		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 20))
 		for i, id := range []string{"wk-3", "wk-4", "wk-5", "wk-6"} {
-			cluster.Submit(7+6*float64(i), NewSubmission(id, protocol.ShapeArray, 16, 1, 8, nil))
+			cluster.Submit(7+6*float64(i), NewSubmission(id, protocol.ShapeArray, 16, 1, 8))
 		}
 		cluster.crashFor(30, 33, "n0", "n1", "n2") // the next owners know what the first had seen
 		cluster.Cancel(90, "wk-1")
@@ -42,8 +42,8 @@
 	cluster.ServeAPI()
 	addMachines(cluster, 6, 0)
 	cluster.FailingJobs = map[string]bool{"wk-1": true}
-	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20, nil))
-	cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 60, nil))
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 40, 1, 20))
+	cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 60))
 	cluster.crashFor(40, 42, cluster.controllerNames...)
 	before, after := 0, 0
 	cluster.At(42, func() { before = len(cluster.FailedStarts) })
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -13,23 +13,23 @@
 )
 
 // cutLinksFor parts pairs of hosts from one time to another, in seconds.
-func (c *Cluster) cutLinksFor(from, to float64, pairs [][2]string) {
+func (c *Cluster) cutLinksFor(from, to float64, pairs []link) {
 	c.At(from, func() {
 		for _, pair := range pairs {
-			c.CutLink(pair[0], pair[1])
+			c.CutLink(pair.from, pair.to)
 		}
 	})
 	c.At(to, func() {
 		for _, pair := range pairs {
-			c.HealLink(pair[0], pair[1])
+			c.HealLink(pair.from, pair.to)
 		}
 	})
 }
 
 // machineLinks are a machine's ways to and from all controllers.
-func (c *Cluster) machineLinks(machine *Machine) (pairs [][2]string) {
+func (c *Cluster) machineLinks(machine *Machine) (pairs []link) {
 	for _, name := range c.controllerNames {
-		pairs = append(pairs, [2]string{machine.Address(), c.apiAddress(name)}, [2]string{machine.Address(), c.address(name)})
+		pairs = append(pairs, link{machine.Address(), c.apiAddress(name)}, link{machine.Address(), c.address(name)})
 	}
 	return pairs
 }
@@ -237,7 +237,7 @@
 	look = func() {
 		for ; read < len(c.State.changeLog); read++ {
 			if id, ok := strings.CutPrefix(c.State.changeLog[read].Put, shard.JobKey("")); ok {
-				if seen[id] && c.cancelledAt[id] == 0 {
+				if seen[id] && !c.cancellations[id].requested {
 					f(id)
 				}
 				seen[id] = true
@@ -291,3 +291,11 @@
 		c.Controllers[name].settings.Deployment.Teams = teams
 	}
 }
+
+// placeSingleTasksAnywhere has every job of a single task take the short way for a rush of
+// them: its record says that it may be on any machine.
+func (c *Cluster) placeSingleTasksAnywhere() {
+	for _, name := range c.controllerNames {
+		c.Controllers[name].settings.Dispatch.Anywhere = 0
+	}
+}
--- a/internal/simulator/federation.go
+++ b/internal/simulator/federation.go
@@ -11,73 +11,100 @@
 	"curlewspool/internal/settings"
 )
 
-// NewFederation makes two clusters, west and east, in one world; each may lend to
+// partnerLease is the lease of loans between simulated clusters.
+const partnerLease = 14 * time.Second
+
+// NewFederation returns two clusters, west and east, on one network; each may lend to
 // the other.
-func NewFederation(seed uint64, nodes int) (west, east *Cluster) {
+func NewFederation(seed uint64, controllers int) (west, east *Cluster) {
 	network := newNetwork(seed)
-	west, east = network.addCluster("west", nodes), network.addCluster("east", nodes)
-	for _, cluster := range []*Cluster{west, east} {
-		other := east
-		if cluster == east {
-			other = west
-		}
-		for _, name := range cluster.controllerNames {
-			process := cluster.Controllers[name]
-			f := &settings.Federation{Cluster: cluster.Name, Listen: cluster.address("fed-" + name)}
-			p := settings.Partner{Name: other.Name, Classes: []string{"*"}, Lends: 0.8, Ratio: 2, Lease: 14 * time.Second}
-			p.Term = remotelease.MaxTerm(time.Duration(cluster.Settings.Deployment.Workers.Cancel)*time.Second, p.Lease, settings.Drift)
-			for _, o := range other.controllerNames {
-				p.Addresses = append(p.Addresses, other.address("fed-"+o))
-			}
-			f.Partners = []settings.Partner{p}
-			process.settings.Federation = f
-			process.settings.Dispatch.ChunksPerPart, process.settings.Rent.OwnIdleBoots = 2, 100
-			network.controllers[f.Listen] = process
-			network.handlers[f.Listen] = func(_, path string, body []byte, reply func(int, any)) {
-				// The caller's certificate names it; here the path does.
-				from, rest, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-				process.execute(process.incarnation, func() {
-					process.Controller.HandlePartnerRequest(from, "/"+rest, body, func(status int, b any, _ int) { reply(status, b) })
-				})
-			}
+	west = network.addCluster("west", controllers)
+	east = network.addCluster("east", controllers)
+	west.addPartner(east)
+	east.addPartner(west)
+	return west, east
+}
+
+// addPartner lets a cluster lend to another, and serves what that asks of it.
+func (c *Cluster) addPartner(other *Cluster) {
+	for _, name := range c.controllerNames {
+		process := c.Controllers[name]
+		listen := c.address(federationHost(name))
+		process.settings.Federation = &settings.Federation{
+			Cluster:  c.Name,
+			Listen:   listen,
+			Partners: []settings.Partner{c.partnerSettings(other)},
 		}
-		cluster.ServeAPI()
+		process.settings.Dispatch.ChunksPerPart = 2
+		process.settings.Rent.OwnIdleBoots = 100
+		c.controllers[listen] = process
+		c.handlers[listen] = process.servePartner
 	}
-	return west, east
+	c.ServeAPI()
+}
+
+// partnerSettings are a cluster's settings of its partner.
+func (c *Cluster) partnerSettings(other *Cluster) settings.Partner {
+	partner := settings.Partner{
+		Name:    other.Name,
+		Classes: []string{"*"},
+		Lends:   0.8,
+		Ratio:   2,
+		Lease:   partnerLease,
+	}
+	cancel := time.Duration(c.Settings.Deployment.Workers.Cancel) * time.Second
+	partner.Term = remotelease.MaxTerm(cancel, partner.Lease, settings.Drift)
+	for _, name := range other.controllerNames {
+		partner.Addresses = append(partner.Addresses, other.address(federationHost(name)))
+	}
+	return partner
 }
 
-// jobByID is a job's description, which machines fetch by themselves: for a
-// borrowed one its home's, from the loan's first task on.
+// servePartner answers a partner cluster. The path begins with the caller's name, which
+// its certificate proves on real connections.
+func (p *ControllerProcess) servePartner(_, path string, body []byte, reply func(int, any)) {
+	caller, rest, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	p.execute(p.incarnation, func() {
+		p.Controller.HandlePartnerRequest(caller, "/"+rest, body, func(status int, answer any, _ int) { reply(status, answer) })
+	})
+}
+
+// jobByID is a job's description, which machines fetch by themselves: of a borrowed one
+// its home's, from the loan's first task on. nil: there is no such job.
 func (c *Cluster) jobByID(id string) *protocol.Job {
 	if job := c.jobs[id]; job != nil {
 		return job
 	}
-	home, k, ok := remotelease.ParseJobID(id)
-	if !ok || c.clusters[home] == nil || c.clusters[home].jobs[k.Job] == nil {
+	homeName, loan, ok := remotelease.ParseJobID(id)
+	if !ok {
+		return nil
+	}
+	home := c.clusters[homeName]
+	if home == nil || home.jobs[loan.Job] == nil {
 		return nil
 	}
-	j := *c.clusters[home].jobs[k.Job]
-	j.ID = id
-	j.Tasks -= k.FirstTask
-	c.jobs[id] = &j
-	return &j
+	borrowed := *home.jobs[loan.Job]
+	borrowed.ID = id
+	borrowed.Tasks -= loan.FirstTask
+	c.jobs[id] = &borrowed
+	return &borrowed
 }
 
-// origin is a task as its user knows it.
-func (c *Cluster) origin(t agent.TaskID) (*Cluster, agent.TaskID) {
-	home, k, ok := remotelease.ParseJobID(t.Job)
-	if !ok || c.clusters[home] == nil {
-		return c, t
+// origin is a task as its user knows it, and the cluster where that is.
+func (c *Cluster) origin(id agent.TaskID) (*Cluster, agent.TaskID) {
+	homeName, loan, ok := remotelease.ParseJobID(id.Job)
+	if !ok || c.clusters[homeName] == nil {
+		return c, id
 	}
-	return c.clusters[home], agent.TaskID{Job: k.Job, Index: k.FirstTask + t.Index}
+	return c.clusters[homeName], agent.TaskID{Job: loan.Job, Index: loan.FirstTask + id.Index}
 }
 
-// LoanSummary tells how many chunks are lent and how many loans are borrowed, as the
-// controllers say.
+// LoanSummary says how many chunks are lent and how many loans are borrowed, by the word
+// of the controllers.
 func (c *Cluster) LoanSummary() string {
 	for _, name := range c.runningControllers() {
-		if v := c.Controllers[name].Controller.DebugState().Federation; v != nil {
-			return fmt.Sprintf("%s: %d lent, %d borrowed", c.Name, len(v.Lent), len(v.Borrowed))
+		if federation := c.Controllers[name].Controller.DebugState().Federation; federation != nil {
+			return fmt.Sprintf("%s: %d lent, %d borrowed", c.Name, len(federation.Lent), len(federation.Borrowed))
 		}
 	}
 	return c.Name + ": nobody there"
--- a/internal/simulator/federation_failure_test.go
+++ b/internal/simulator/federation_failure_test.go
@@ -129,7 +129,7 @@
 		ids = overloadWest(west, east)
 		west.At(14, func() {
 			for _, pair := range linksBetween(west, east) {
-				west.refusals[pair[0]+"|"+pair[1]] = true
+				west.refusals[pair] = true
 			}
 			west.Trace("west and east refuse each other from now on")
 		})
--- a/internal/simulator/federation_helpers_test.go
+++ b/internal/simulator/federation_helpers_test.go
@@ -42,7 +42,7 @@
 func submitOverload(cluster *Cluster, at float64, jobs, tasks int, estimate float64) (ids []string) {
 	for i := 0; i < jobs; i++ {
 		id := fmt.Sprintf("wk-%s-%d", cluster.Name, i+1)
-		cluster.Submit(at+float64(i)/4, NewSubmission(id, protocol.ShapeArray, tasks, 1, estimate, nil))
+		cluster.Submit(at+float64(i)/4, NewSubmission(id, protocol.ShapeArray, tasks, 1, estimate))
 		ids = append(ids, id)
 	}
 	return ids
--- a/internal/simulator/federation_overflow_bench_test.go
+++ b/internal/simulator/federation_overflow_bench_test.go
@@ -64,7 +64,7 @@
 	arrive := func(cluster *Cluster, cores, load float64) {
 		// Arrays of 12 tasks of a core for 10 s.
 		for at, i := 8.0, 0; at < 540; i++ {
-			cluster.Submit(at, NewSubmission(fmt.Sprintf("wk-%s-%d", cluster.Name, i), protocol.ShapeArray, 12, 1, 10, func(submission *protocol.Submission) { due := 45.0; submission.Deadline = &due }))
+			cluster.Submit(at, NewSubmission(fmt.Sprintf("wk-%s-%d", cluster.Name, i), protocol.ShapeArray, 12, 1, 10, withDeadline(45)))
 			at += west.random.ExpFloat64() * 120 / (cores * load)
 		}
 	}
--- a/internal/simulator/federation_test.go
+++ b/internal/simulator/federation_test.go
@@ -57,10 +57,7 @@
 		addMachines(west, 1, 0)
 		machines := addMachines(east, 9, 0)
 		ids = append(ids, submitOverload(west, 10, 3, 8, 20)...)
-		west.Submit(5, NewSubmission("wk-gang", protocol.ShapeGang, 2, 4, 20, func(submission *protocol.Submission) {
-			m, v := 5.0, 1.0
-			submission.CheckpointInterval, submission.CheckpointDuration = &m, &v
-		}))
+		west.Submit(5, NewSubmission("wk-gang", protocol.ShapeGang, 2, 4, 20, withCheckpoints(5, 1)))
 		west.At(20, func() {
 			heal := west.PartitionClusters(west, east, false)
 			west.At(24, machines[0].Die)
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -13,7 +13,7 @@
 func TestGangLosesMachine(t *testing.T) {
 	cluster := playTraced(t, "gang-loses-machine", 10, 150, func(cluster *Cluster) {
 		machines := addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 30, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 30))
 		cluster.At(16, func() {
 			for _, machine := range machines {
 				if on := cluster.MachinesRunning("wk-1"); len(on) > 0 && machine.ID() == on[0] {
@@ -31,9 +31,9 @@
 	cluster := playTraced(t, "gang-across-parts", 14, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
-			cluster.Submit(4+6*float64(i), NewSubmission(id, protocol.ShapeArray, 12, 1, 14, nil))
+			cluster.Submit(4+6*float64(i), NewSubmission(id, protocol.ShapeArray, 12, 1, 14))
 		}
-		cluster.Submit(12, NewSubmission("wk-7", protocol.ShapeGang, 5, 4, 10, nil))
+		cluster.Submit(12, NewSubmission("wk-7", protocol.ShapeGang, 5, 4, 10))
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-7", "wk-1", "wk-6")
 }
@@ -43,14 +43,8 @@
 func TestGangPreemptsInOneZone(t *testing.T) {
 	cluster := playTraced(t, "gang-preempts", 28, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 60, func(submission *protocol.Submission) {
-			m, v := 5.0, 1.0
-			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
-		}))
-		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeGang, 2, 4, 10, func(submission *protocol.Submission) {
-			yes := true
-			submission.Priority, submission.SingleZone = stringPointer("high"), &yes
-		}))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 60, bestEffort(5, 1)))
+		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeGang, 2, 4, 10, withPriority("high"), inSingleZone))
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-2")
 }
@@ -65,11 +59,8 @@
 		}
 		addMachines(cluster, 6, 0)
 		cluster.RuntimeFactors = map[string]float64{"class": 6}
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 10, func(submission *protocol.Submission) { // would end at 16, and does not
-			m, v := 5.0, 2.0
-			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
-		}))
-		cluster.Submit(11, NewSubmission("wk-9", protocol.ShapeGang, 2, 4, 10, func(submission *protocol.Submission) { submission.Class = stringPointer("gang") }))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 10, bestEffort(5, 2))) // would end at 16, and does not
+		cluster.Submit(11, NewSubmission("wk-9", protocol.ShapeGang, 2, 4, 10, ofClass("gang")))
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-9")
 	var submitted, runs float64
--- a/internal/simulator/invalid_reports_test.go
+++ b/internal/simulator/invalid_reports_test.go
@@ -17,7 +17,7 @@
 	cluster := NewCluster(231)
 	cluster.ServeAPI()
 	machines := addMachines(cluster, 4, 0)
-	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 8, 1, 20, nil))
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 8, 1, 20))
 	good := func(edit func(report *protocol.Report)) *protocol.Report {
 		report := &protocol.Report{Machine: machines[0].id, Address: machines[0].address, Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []protocol.TaskReport{}}
 		edit(report)
@@ -38,7 +38,7 @@
 		{"no address", good(func(report *protocol.Report) { report.Address = "" }), "400"},
 		{"no session", good(func(report *protocol.Report) { report.Incarnation = 0 }), "400"},
 		{"a notice that is no time", good(func(report *protocol.Report) { report.PreemptionNotice = &nan }), "400"},
-		{"older than what is known", good(func(report *protocol.Report) {}), "503 421"},
+		{"older than what is known", good(func(_ *protocol.Report) {}), "503 421"},
 		{"a token that nobody gave", good(func(report *protocol.Report) { report.Sequence, report.FencingToken = 1000, 1<<62 }), "503 421"},
 		{"a machine that is not there", good(func(report *protocol.Report) { report.Machine, report.Address = "i-999", "w-i-999" }), "503 421"},
 	} {
@@ -100,9 +100,9 @@
 		cluster := NewCluster(uint64(240 + i))
 		cluster.ServeAPI()
 		machines := addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 20, nil))
-		cluster.Submit(9, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 8, nil))
-		cluster.Submit(9.5, NewSubmission("wk-3", protocol.ShapeArray, 8, 1, 60, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 20))
+		cluster.Submit(9, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 8))
+		cluster.Submit(9.5, NewSubmission("wk-3", protocol.ShapeArray, 8, 1, 60))
 		cluster.Cancel(11, "wk-3")
 		counter := uint64(0)
 		cluster.At(8, func() {
--- a/internal/simulator/invalid_requests_test.go
+++ b/internal/simulator/invalid_requests_test.go
@@ -22,9 +22,9 @@
 		cluster := newMonitoredCluster(seed, 75)
 		random := rand.New(rand.NewPCG(seed, 11))
 		addMachines(cluster, 4, 0)
-		runs := NewSubmission("wk-runs", protocol.ShapeArray, 4, 1, 60, nil)
-		done := NewSubmission("wk-done", protocol.ShapeArray, 2, 1, 2, nil)
-		gone := NewSubmission("wk-gone", protocol.ShapeArray, 2, 1, 60, nil)
+		runs := NewSubmission("wk-runs", protocol.ShapeArray, 4, 1, 60)
+		done := NewSubmission("wk-done", protocol.ShapeArray, 2, 1, 2)
+		gone := NewSubmission("wk-gone", protocol.ShapeArray, 2, 1, 60)
 		cluster.Submit(5, runs)
 		cluster.Submit(5, done)
 		cluster.Submit(6, gone)
@@ -38,9 +38,9 @@
 		cluster.sendInvalidRequests(0.2, 70, runs)
 		for i := range 160 {
 			submission := []*protocol.Submission{runs, done, gone}[i%3]
-			what := []string{"submit", "ask", "submit", "cancel"}[random.IntN(4)]
-			if what == "cancel" && submission == runs {
-				what = "ask"
+			what := []userAction{submitAgain, pollAgain, submitAgain, cancelAgain}[random.IntN(4)]
+			if what == cancelAgain && submission == runs {
+				what = pollAgain
 			}
 			cluster.At(12+0.4*float64(i), func() { cluster.repeatRequest(cluster.controllerNames[i/3%3], what, submission) })
 		}
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -6,92 +6,237 @@
 	"slices"
 	"time"
 
+	"curlewspool/internal/agent"
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
 
-func (n *Network) reportViolation(format string, a ...any) {
-	n.Violations = append(n.Violations, fmt.Sprintf(format, a...))
-	n.Trace("BROKEN "+format, a...)
+// Rule names an invariant that must hold whatever fails.
+type Rule string
+
+// The invariants.
+const (
+	RuleRunsOnce         Rule = "ran_twice"        // no task is on two machines at once
+	RuleCancelledIsGone  Rule = "ran_cancelled"    // nothing of a cancelled job is left cancel_s after the answer
+	RuleDependenciesDone Rule = "too_early"        // no task starts before what its job depends on is done
+	RuleTeamLimit        Rule = "quota"            // a team's tasks are within its limit
+	RulePlacement        Rule = "wrong_place"      // tasks are where their job allows
+	RuleNotForgotten     Rule = "forgotten"        // an accepted job stays known
+	RuleEndIsFinal       Rule = "went_back"        // what was told of a job's end stays true
+	RuleTasksCompleted   Rule = "not_done"         // a job that is told as done has all its tasks done
+	RuleCancelledWith    Rule = "orphaned"         // a job is cancelled with what it depends on
+	RuleAnswerReadable   Rule = "unreadable"       // answers are of the protocol's form
+	RuleInvalidRefused   Rule = "accepted_invalid" // what is invalid or can never run is refused
+	RuleSettingsValid    Rule = "settings_refused" // settings of an upgrade are accepted
+)
+
+// reportViolation notes that a rule was seen violated.
+func (n *Network) reportViolation(rule Rule, format string, a ...any) {
+	violation := fmt.Sprintf("%s: %s", rule, fmt.Sprintf(format, a...))
+	n.Violations = append(n.Violations, violation)
+	n.Trace("BROKEN %s", violation)
 }
 
-// forEachAttempt calls f for every task on any machine of any cluster, in a fixed order.
-func (n *Network) forEachAttempt(f func(machine *Machine, t *attempt)) {
+// forEachAttempt calls f for every attempt on any machine of any cluster, in a fixed
+// order.
+func (n *Network) forEachAttempt(f func(machine *Machine, attempt *taskAttempt)) {
 	for _, name := range slices.Sorted(maps.Keys(n.clusters)) {
 		cluster := n.clusters[name]
 		for _, id := range cluster.machineIDs() {
-			for _, t := range cluster.Machines[id].attempts {
-				f(cluster.Machines[id], t)
+			for _, attempt := range cluster.Machines[id].attempts {
+				f(cluster.Machines[id], attempt)
 			}
 		}
 	}
 }
 
-// recordStart checks the rules at the moment a task comes to be on a machine.
-func (c *Cluster) recordStart(machine *Machine, t *attempt, job *protocol.Job) {
-	c.Trace("  %s starts %s", machine.id, t)
-	zones := map[string]int{}
-	cores, gpus := 0.0, 0.0
-	home, whose := c.origin(t.TaskID)
-	c.forEachAttempt(func(other *Machine, x *attempt) {
-		j := other.cluster.jobByID(x.Job)
-		if !x.present || j == nil {
+// checkStart checks the invariants at the moment a task comes to be on a machine.
+func (c *Cluster) checkStart(machine *Machine, attempt *taskAttempt, job *protocol.Job) {
+	c.Trace("  %s starts %s", machine.id, attempt)
+	home, task := c.origin(attempt.TaskID)
+	c.checkRunsOnce(machine, attempt, task)
+	c.histories.recordStart(task, c.now)
+	home.checkDependenciesDone(attempt, task.Job)
+	c.checkTeamLimit(job)
+	c.checkPlacement(machine, attempt, job)
+	c.checkNotCancelled(attempt, home, task)
+}
+
+// checkRunsOnce: no other attempt of the task is present, in any cluster.
+func (c *Cluster) checkRunsOnce(machine *Machine, attempt *taskAttempt, task agent.TaskID) {
+	c.forEachAttempt(func(otherMachine *Machine, other *taskAttempt) {
+		if other == attempt || !other.present {
 			return
 		}
-		if _, theirs := other.cluster.origin(x.TaskID); x != t && theirs == whose {
-			c.reportViolation("ran_twice: %s on %s and %s", t, other.id, machine.id)
+		if _, otherTask := otherMachine.cluster.origin(other.TaskID); otherTask == task {
+			c.reportViolation(RuleRunsOnce, "%s on %s and %s", attempt, otherMachine.id, machine.id)
 		}
-		if x.Job == t.Job {
-			zones[other.zone]++
+	})
+}
+
+// checkDependenciesDone: all that a job depends on is stored as done.
+func (c *Cluster) checkDependenciesDone(attempt *taskAttempt, id string) {
+	job := c.jobs[id]
+	if job == nil {
+		return
+	}
+	for _, dependency := range job.Dependencies {
+		var final shard.FinalRecord
+		entry, stored := c.State.entries[shard.FinalKey(dependency)]
+		if !stored || protocol.Decode(entry.Value, &final) != nil || final.Status != protocol.JobDone {
+			c.reportViolation(RuleDependenciesDone, "%s starts before %s is done", attempt, dependency)
 		}
-		if j.Team == job.Team {
-			cores += j.Cores
-			gpus += j.GPUs
+	}
+}
+
+// checkTeamLimit: all that is present of a team's jobs, in any cluster, is within its
+// limit.
+func (c *Cluster) checkTeamLimit(job *protocol.Job) {
+	team := c.Settings.Team(job.Team)
+	if team.CoresMax <= 0 && team.GPUsMax <= 0 {
+		return
+	}
+	var cores, gpus float64
+	c.forEachAttempt(func(machine *Machine, attempt *taskAttempt) {
+		other := machine.cluster.jobByID(attempt.Job)
+		if attempt.present && other != nil && other.Team == job.Team {
+			cores += other.Cores
+			gpus += other.GPUs
 		}
 	})
-	c.histories.recordStart(whose, c.now)
-	home.checkDependencies(t, whose.Job)
-	team := c.Settings.Team(job.Team)
-	if team.CoresMax > 0 && cores > team.CoresMax+1e-9 || team.GPUsMax > 0 && gpus > team.GPUsMax+1e-9 {
-		c.reportViolation("quota: %s uses %v cores", job.Team, cores)
+	exceedsCores := team.CoresMax > 0 && cores > team.CoresMax+roundingError
+	exceedsGPUs := team.GPUsMax > 0 && gpus > team.GPUsMax+roundingError
+	if exceedsCores || exceedsGPUs {
+		c.reportViolation(RuleTeamLimit, "%s uses %v cores", job.Team, cores)
+	}
+}
+
+// checkPlacement: the job's tasks are in zones and on machines that it allows.
+func (c *Cluster) checkPlacement(machine *Machine, attempt *taskAttempt, job *protocol.Job) {
+	isWrongMachine := machine.spot && !job.AllowSpot
+	isWrongZone := job.Zone != "" && job.Zone != machine.zone
+	if isWrongMachine || isWrongZone || c.hasWrongZones(machine, job) {
+		c.reportViolation(RulePlacement, "%s on %s", attempt, machine.id)
 	}
-	if job.SingleZone && len(zones) > 1 || job.SpreadZones && zones[machine.zone] > (job.Tasks+1)/2 || machine.spot && !job.AllowSpot || job.Zone != "" && job.Zone != machine.zone {
-		c.reportViolation("wrong_place: %s on %s", t, machine.id)
+}
+
+// hasWrongZones tells whether a job of a single zone is in several, or more than half of
+// one that is spread over zones is in that of a machine.
+func (c *Cluster) hasWrongZones(machine *Machine, job *protocol.Job) bool {
+	if !job.SingleZone && !job.SpreadZones {
+		return false
 	}
-	if at := home.cancelledAt[whose.Job]; at > 1 {
-		home.histories.job(whose.Job).startsAfterCancellation++
-		if c.now > at+time.Duration(c.Settings.Deployment.Workers.Cancel*float64(time.Second)) {
-			c.reportViolation("ran_cancelled: %s starts", t)
+	tasksByZone := map[string]int{}
+	c.forEachAttempt(func(other *Machine, attempt *taskAttempt) {
+		if attempt.present && attempt.Job == job.ID {
+			tasksByZone[other.zone]++
 		}
+	})
+	half := (job.Tasks + 1) / 2
+	return job.SingleZone && len(tasksByZone) > 1 || job.SpreadZones && tasksByZone[machine.zone] > half
+}
+
+// checkNotCancelled: nothing starts cancel_s after a cancellation was confirmed.
+func (c *Cluster) checkNotCancelled(attempt *taskAttempt, home *Cluster, task agent.TaskID) {
+	cancelled := home.cancellations[task.Job]
+	if !cancelled.isConfirmed() {
+		return
+	}
+	home.histories.job(task.Job).startsAfterCancellation++
+	if c.now > cancelled.confirmedAt+c.cancelBound() {
+		c.reportViolation(RuleCancelledIsGone, "%s starts", attempt)
 	}
 }
 
-// checkDependencies: when a task of a job starts, all that the job needs is durably done.
-func (c *Cluster) checkDependencies(t *attempt, id string) {
-	job := c.jobs[id]
-	if job == nil {
+// cancelBound is how long after the answer something of a cancelled job may be left.
+func (c *Cluster) cancelBound() time.Duration {
+	return env.Seconds(c.Settings.Deployment.Workers.Cancel)
+}
+
+// countLaunchAfterCancellation counts commands to launch tasks of cancelled jobs.
+func (c *Cluster) countLaunchAfterCancellation(id agent.TaskID) {
+	home, task := c.origin(id)
+	if home.cancellations[task.Job].isConfirmed() {
+		home.histories.job(task.Job).launchesAfterCancellation++
+	}
+}
+
+// cancellationCheckInterval is how often the machines of a cancelled job are looked at.
+const cancellationCheckInterval = 200 * time.Millisecond
+
+// recordCancellation notes that a user's cancellation was confirmed now, and checks that
+// nothing of the job is left in time.
+func (c *Cluster) recordCancellation(id string) {
+	c.cancellations[id] = cancellation{requested: true, confirmedAt: c.now}
+	c.followCancelled(id)
+	c.after(c.cancelBound(), func() { c.checkCancelledIsGone(id) })
+}
+
+// followCancelled notes for how long something of a cancelled job is on a machine.
+func (c *Cluster) followCancelled(id string) {
+	if len(c.MachinesRunning(id)) == 0 {
 		return
 	}
-	for _, need := range job.Dependencies {
-		var f shard.FinalRecord
-		entry, stored := c.State.entries[shard.FinalKey(need)]
-		if !stored || protocol.Decode(entry.Value, &f) != nil || f.Status != protocol.JobDone {
-			c.reportViolation("too_early: %s starts before %s is done", t, need)
+	c.histories.job(id).presentAfterCancellation = c.now - c.cancellations[id].confirmedAt
+	c.after(cancellationCheckInterval, func() { c.followCancelled(id) })
+}
+
+// checkCancelledIsGone: nothing of a cancelled job is on any machine.
+func (c *Cluster) checkCancelledIsGone(id string) {
+	c.forEachAttempt(func(machine *Machine, attempt *taskAttempt) {
+		if _, task := machine.cluster.origin(attempt.TaskID); task.Job == id && attempt.present {
+			c.reportViolation(RuleCancelledIsGone, "%s is still on %s", attempt, machine.id)
 		}
+	})
+}
+
+// checkNotOrphaned: no job is told as alive cancel_s after one that it depends on was
+// confirmed as cancelled.
+func (c *Cluster) checkNotOrphaned(id string, status protocol.JobStatus) {
+	isAlive := status == protocol.JobPending || status == protocol.JobRunning
+	if isAlive && c.hasCancelledDependency(id, c.cancelBound()) {
+		c.reportViolation(RuleCancelledWith, "%s is called %s", id, status)
+	}
+}
+
+// checkEndIsFinal: a job that was told as ended is told so again.
+func (c *Cluster) checkEndIsFinal(id string, before, status protocol.JobStatus) {
+	if hasEnded(before) && status != before {
+		c.reportViolation(RuleEndIsFinal, "%s was %s, is %s", id, before, status)
+	}
+}
+
+// checkAllTasksCompleted: a job that is told as done has all its tasks done.
+func (c *Cluster) checkAllTasksCompleted(id string) {
+	for i := range c.jobs[id].Tasks {
+		if !c.completedTasks[agent.TaskID{Job: id, Index: i}] {
+			c.reportViolation(RuleTasksCompleted, "%s/%d", id, i)
+		}
+	}
+}
+
+// checkCancellationRequested: a job that is told as cancelled was cancelled by its user,
+// or with one that it depends on.
+func (c *Cluster) checkCancellationRequested(id string) {
+	if !c.cancellations[id].requested && !c.hasCancelledDependency(id, 0) {
+		c.reportViolation(RuleEndIsFinal, "%s was not cancelled", id)
 	}
 }
 
-// hasCancelledDependency tells whether a user was told, longer ago than a time, that a job which
-// this one needs, directly or through others, is cancelled; with 0: or asked for that.
-func (c *Cluster) hasCancelledDependency(id string, ago time.Duration) bool {
+// hasCancelledDependency tells whether a job that this one depends on, directly or
+// through others, was confirmed as cancelled longer ago than age; with 0 also whether
+// that was requested.
+func (c *Cluster) hasCancelledDependency(id string, age time.Duration) bool {
 	job := c.jobs[id]
 	if job == nil {
 		return false
 	}
-	for _, need := range job.Dependencies {
-		at := c.cancelledAt[need]
-		asked := ago == 0 && at > 0 && c.reportedStatus[need] != protocol.JobDone
-		if at > 1 && c.now > at+ago || asked || c.hasCancelledDependency(need, ago) {
+	for _, dependency := range job.Dependencies {
+		cancelled := c.cancellations[dependency]
+		isRequested := age == 0 && cancelled.requested && c.reportedStatus[dependency] != protocol.JobDone
+		isConfirmed := cancelled.isConfirmed() && c.now > cancelled.confirmedAt+age
+		if isConfirmed || isRequested || c.hasCancelledDependency(dependency, age) {
 			return true
 		}
 	}
--- a/internal/simulator/job_completion_requests_test.go
+++ b/internal/simulator/job_completion_requests_test.go
@@ -23,15 +23,13 @@
 	ends := map[protocol.JobStatus]int{}
 	for i, kind := range kinds {
 		for k, slow := range []float64{0, 1.2} {
-			submission := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5, nil)
+			submission := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5)
 			play := func(meet func(cluster *Cluster)) *Cluster {
 				cluster := NewCluster(uint64(830 + 10*i + k))
 				cluster.ServeAPI()
 				addMachines(cluster, 3, 0)
-				for _, name := range cluster.controllerNames {
-					if kind.single {
-						cluster.Controllers[name].settings.Dispatch.Anywhere = 0
-					}
+				if kind.single {
+					cluster.placeSingleTasksAnywhere()
 				}
 				cluster.Submit(5, submission)
 				if slow > 0 {
@@ -54,16 +52,16 @@
 				}
 			}
 			expectStatus(t, plain, protocol.JobDone, "wk-1")
-			for _, first := range []string{"cancel", "ask", "submit"} {
+			for _, first := range []userAction{cancelAgain, pollAgain, submitAgain} {
 				for d := -0.04 - slow; d < 0.1+slow; d += 0.01 + slow/12 {
 					cluster := play(func(cluster *Cluster) {
-						for x, what := range []string{first, "ask", "cancel", "submit", "ask"} {
-							cluster.At(end+d+(0.003+slow/4)*float64(x), func() { cluster.repeatRequest(cluster.controllerNames[x%3], what, submission) })
+						for x, action := range []userAction{first, pollAgain, cancelAgain, submitAgain, pollAgain} {
+							cluster.At(end+d+(0.003+slow/4)*float64(x), func() { cluster.repeatRequest(cluster.controllerNames[x%3], action, submission) })
 						}
 						for x, name := range cluster.controllerNames {
 							cluster.At(end+12+float64(x), func() {
-								cluster.repeatRequest(name, "submit", submission)
-								cluster.repeatRequest(name, "ask", submission)
+								cluster.repeatRequest(name, submitAgain, submission)
+								cluster.repeatRequest(name, pollAgain, submission)
 							})
 						}
 					})
--- a/internal/simulator/large_cluster_test.go
+++ b/internal/simulator/large_cluster_test.go
@@ -21,18 +21,18 @@
 	cluster.State, cluster.Cloud = newStateService(cluster), newCloud(cluster)
 	cluster.ServeAPI()
 	machines := addMachines(cluster, 500, 40)
-	cluster.Cloud.Capacity["small/a/true"] = 60
+	cluster.Cloud.Capacity[Offer{"small", "a", true}] = 60
 	ids := []string{"wk-0"}
-	cluster.Submit(8, NewSubmission("wk-0", protocol.ShapeArray, 2500, 1, 20, nil))
+	cluster.Submit(8, NewSubmission("wk-0", protocol.ShapeArray, 2500, 1, 20))
 	for i := 1; i <= 12; i++ {
 		id := fmt.Sprintf("wk-%d", i)
 		ids = append(ids, id)
-		cluster.Submit(10+5*float64(i), NewSubmission(id, protocol.ShapeArray, 60+20*i, 1, 20, nil))
+		cluster.Submit(10+5*float64(i), NewSubmission(id, protocol.ShapeArray, 60+20*i, 1, 20))
 	}
 	for i := 20; i < 24; i++ {
 		id := fmt.Sprintf("wk-%d", i)
 		ids = append(ids, id)
-		cluster.Submit(3*float64(i), NewSubmission(id, protocol.ShapeGang, 8, 15, 25, func(submission *protocol.Submission) { yes := true; submission.SingleZone = &yes }))
+		cluster.Submit(3*float64(i), NewSubmission(id, protocol.ShapeGang, 8, 15, 25, inSingleZone))
 	}
 	cluster.At(30, func() { cluster.Controllers["n2"].Crash() })
 	cluster.At(33, func() { cluster.Controllers["n2"].Start() })
--- a/internal/simulator/late_commands_test.go
+++ b/internal/simulator/late_commands_test.go
@@ -27,8 +27,8 @@
 		"is isolated":  func(cluster *Cluster, name string) { cluster.after(20*time.Second, cluster.IsolateController(name)) },
 		"stands still": func(cluster *Cluster, name string) { cluster.Controllers[name].Pause(14*time.Second, true) },
 	}
-	low := func(submission *protocol.Submission) { submission.Priority = stringPointer("best_effort") }
-	high := func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }
+	low := withPriority("best_effort")
+	high := withPriority("high")
 	seed, held := uint64(2800), 0
 	for _, how := range slices.Sorted(maps.Keys(ends)) {
 		for _, late := range []float64{0.2, 0.7, 1.5, 3, 6, 11, 16} {
@@ -36,13 +36,13 @@
 				seed++
 				cluster := newMonitoredCluster(seed, 70)
 				machines := addMachines(cluster, 6, 0)
-				cluster.Cloud.Capacity["small/a/false"] = 4
-				cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 20, 1, 2.5, nil))  // ends and begins all the time
+				cluster.Cloud.Capacity[Offer{"small", "a", false}] = 4
+				cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 20, 1, 2.5))       // ends and begins all the time
 				cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 20, 1, 3.1, low))  // is stopped for
 				cluster.Submit(13, NewSubmission("wk-3", protocol.ShapeGang, 2, 3, 5, high))    // these
 				cluster.Submit(13.3, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 4, high)) //
-				cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 4, 0.5, 60, nil))
-				cluster.Submit(13.5, NewSubmission("wk-6", protocol.ShapeArray, 4, 0.5, 60, nil))
+				cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 4, 0.5, 60))
+				cluster.Submit(13.5, NewSubmission("wk-6", protocol.ShapeArray, 4, 0.5, 60))
 				cluster.Cancel(13.8, "wk-5")
 				cluster.Cancel(13.9, "wk-6")
 				cluster.At(at-1, func() {
@@ -58,7 +58,7 @@
 					for i, machine := range machines {
 						for _, o := range cluster.controllerNames {
 							if cut && i%3 == 0 && o != name {
-								cluster.cutLinksFor(at-0.5, at+12, [][2]string{{machine.Address(), o}, {machine.Address(), cluster.apiAddress(o)}})
+								cluster.cutLinksFor(at-0.5, at+12, []link{{machine.Address(), o}, {machine.Address(), cluster.apiAddress(o)}})
 							}
 						}
 					}
--- a/internal/simulator/late_reports_test.go
+++ b/internal/simulator/late_reports_test.go
@@ -28,12 +28,12 @@
 				seed++
 				cluster := newMonitoredCluster(seed, 60)
 				machines := addMachines(cluster, 8, 0)
-				cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 4, nil))  // done by then
-				cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 30, nil)) // runs all the while
-				cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 2, 2, 5, nil))
-				cluster.Submit(12, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 7, nil)) // begins where the first ones ended
-				cluster.Submit(15, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 12, nil))
-				cluster.Submit(8, NewSubmission("wk-6", protocol.ShapeArray, 3, 1, 60, nil))
+				cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 4))  // done by then
+				cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 30)) // runs all the while
+				cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 2, 2, 5))
+				cluster.Submit(12, NewSubmission("wk-4", protocol.ShapeArray, 30, 1, 7)) // begins where the first ones ended
+				cluster.Submit(15, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 12))
+				cluster.Submit(8, NewSubmission("wk-6", protocol.ShapeArray, 3, 1, 60))
 				cluster.Cancel(15, "wk-6")
 				cluster.cutLinksFor(11.5, 28, cluster.machineLinks(machines[0])) // its session ends meanwhile
 				kept := cluster.keepReports(5, 16, heldBack)
--- a/internal/simulator/live_network.go
+++ b/internal/simulator/live_network.go
@@ -1,91 +1,135 @@
 package simulator
 
 import (
-	"container/heap"
 	"context"
 	"fmt"
 	"io"
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
+	"github.com/valyala/fasthttp"
+
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
+)
 
-	"github.com/valyala/fasthttp"
+// maxResponseTime is how long an answer may take: a watch is held for up to a minute.
+const maxResponseTime = 70 * time.Second
+
+// Sizes and times of the live network's sockets.
+const (
+	liveQueueSize        = 4096
+	maxConnectionsByHost = 1 << 14
+	dialTimeout          = time.Second
+	loopbackAnyPort      = "127.0.0.1:0"
+	contentTypeCBOR      = "application/cbor"
 )
 
-// LiveNetwork drives the stand-ins by the real clock and real sockets of the
-// loopback, for controllers that are real processes. One goroutine owns all
-// state; the others translate between sockets and its queue.
+// LiveNetwork drives simulated surroundings by the real clock and real sockets of the
+// loopback, for controllers that are real processes. One goroutine (Run) owns all state;
+// the others translate between sockets and its queue.
 type LiveNetwork struct {
-	Log     io.Writer // the trace, if set
-	net     *Network
+	Log io.Writer // the trace; nil: it is kept in memory
+
+	network *Network
 	start   time.Time
 	queue   chan func()
-	done    chan struct{}
+	done    chan struct{} // closed when Run has ended
 	client  *fasthttp.Client
 	mu      sync.Mutex
-	servers map[string]*fasthttp.Server
+	servers map[string]*fasthttp.Server // by address
+}
+
+// response is an answer over a real socket.
+type response struct {
+	status int
+	body   []byte
 }
 
 // NewLiveNetwork starts the clock of an empty network; Run plays it.
 func NewLiveNetwork(seed uint64) (*Network, *LiveNetwork) {
 	network := newNetwork(seed)
-	live := &LiveNetwork{net: network, start: time.Now(), queue: make(chan func(), 4096), done: make(chan struct{}), servers: map[string]*fasthttp.Server{},
-		client: &fasthttp.Client{MaxIdemponentCallAttempts: 1, MaxConnsPerHost: 1 << 14, NoDefaultUserAgentHeader: true, DisablePathNormalizing: true,
-			Dial: func(addr string) (net.Conn, error) { return net.DialTimeout("tcp4", addr, time.Second) }}}
+	live := &LiveNetwork{
+		network: network,
+		start:   time.Now(),
+		queue:   make(chan func(), liveQueueSize),
+		done:    make(chan struct{}),
+		servers: map[string]*fasthttp.Server{},
+		client: &fasthttp.Client{
+			MaxIdemponentCallAttempts: 1,
+			MaxConnsPerHost:           maxConnectionsByHost,
+			NoDefaultUserAgentHeader:  true,
+			DisablePathNormalizing:    true,
+			Dial:                      func(address string) (net.Conn, error) { return net.DialTimeout("tcp4", address, dialTimeout) },
+		},
+	}
 	network.live = live
 	return network, live
 }
 
 // Run plays until ctx ends, then closes all sockets.
 func (l *LiveNetwork) Run(ctx context.Context) {
-	network := l.net
+	n := l.network
 	timer := time.NewTimer(0)
 	for {
-		network.now = time.Since(l.start)
-		for len(network.queue) > 0 && network.queue[0].at <= network.now {
-			heap.Pop(&network.queue).(event).run()
-		}
-		wait := time.Second
-		if len(network.queue) > 0 {
-			wait = max(0, network.queue[0].at-time.Since(l.start))
+		n.now = time.Since(l.start)
+		for len(n.queue) > 0 && n.queue[0].at <= n.now {
+			n.popEvent().run() // the clock stays as it is
 		}
-		timer.Reset(wait)
+		timer.Reset(l.untilNext())
 		select {
 		case f := <-l.queue:
-			network.now = time.Since(l.start)
+			n.now = time.Since(l.start)
 			f()
 		case <-timer.C:
 		case <-ctx.Done():
-			close(l.done)
-			l.mu.Lock()
-			for _, s := range l.servers {
-				go func() { _ = s.Shutdown() }()
-			}
-			l.servers = map[string]*fasthttp.Server{}
-			l.mu.Unlock()
+			l.close()
 			return
 		}
 	}
 }
 
-// Do runs f on the owner's goroutine and waits for it; false when Run has
-// ended.
+// untilNext is how long until the earliest event; a second if there is none.
+func (l *LiveNetwork) untilNext() time.Duration {
+	if len(l.network.queue) == 0 {
+		return time.Second
+	}
+	return max(0, l.network.queue[0].at-time.Since(l.start))
+}
+
+// close ends all goroutines and servers.
+func (l *LiveNetwork) close() {
+	close(l.done)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, server := range l.servers {
+		shutDown(server)
+	}
+	l.servers = map[string]*fasthttp.Server{}
+}
+
+// shutDown closes a server without waiting for its open requests.
+func shutDown(server *fasthttp.Server) {
+	go func() { _ = server.Shutdown() }() // it can fail only if it does not serve any more
+}
+
+// Do runs f on the owner's goroutine and waits for it; false when Run has ended.
 func (l *LiveNetwork) Do(f func()) bool {
-	ch := make(chan struct{})
-	if !l.post(func() { f(); close(ch) }) {
+	finished := make(chan struct{})
+	if !l.post(func() { f(); close(finished) }) {
 		return false
 	}
 	select {
-	case <-ch:
+	case <-finished:
 		return true
 	case <-l.done:
 		return false
 	}
 }
 
+// post queues f for the owner's goroutine; false when Run has ended.
 func (l *LiveNetwork) post(f func()) bool {
 	select {
 	case l.queue <- f:
@@ -95,133 +139,156 @@
 	}
 }
 
-// maxResponseTime is how long an answer may take: a watch is held for up to a minute.
-const maxResponseTime = 70 * time.Second
-
-type response struct {
-	status int
-	body   []byte
-}
-
-// listen serves at a free port of the loopback and gives its address; without
-// one the stand-in could not exist, so it panics.
-func (l *LiveNetwork) listen(srv requestHandler) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// listen serves at a free port of the loopback and returns its address. It panics if
+// there is none: nothing could be simulated.
+func (l *LiveNetwork) listen(handler requestHandler) string {
+	listener, err := net.Listen("tcp4", loopbackAnyPort)
 	if err != nil {
 		panic(fmt.Sprintf("no free port on the loopback: %v", err))
 	}
-	return l.serve(ln, func(method, path string, body []byte, answer func(response)) {
+	return l.serve(listener, func(method, path string, body []byte, answer func(response)) {
 		l.post(func() {
-			srv(method, path, body, func(status int, b any) {
-				r := response{status: status}
-				if b != nil {
-					r.body = protocol.Encode(b)
+			handler(method, path, body, func(status int, answerBody any) {
+				encoded := response{status: status}
+				if answerBody != nil {
+					encoded.body = protocol.Encode(answerBody)
 				}
-				answer(r)
+				answer(encoded)
 			})
 		})
 	})
 }
 
-func (l *LiveNetwork) serve(ln net.Listener, handle func(method, path string, body []byte, answer func(response))) string {
-	s := &fasthttp.Server{NoDefaultServerHeader: true, IdleTimeout: 2 * maxResponseTime, Handler: func(c *fasthttp.RequestCtx) {
-		ch := make(chan response, 1)
-		handle(string(c.Method()), string(c.Request.RequestURI()), append([]byte(nil), c.PostBody()...), func(r response) {
-			select {
-			case ch <- r:
-			default:
-			}
-		})
-		t := time.NewTimer(maxResponseTime)
-		defer t.Stop()
-		select {
-		case r := <-ch:
-			c.Response.Header.SetContentType("application/cbor")
-			c.SetStatusCode(r.status)
-			c.SetBody(r.body)
-		case <-l.done:
-			c.SetStatusCode(503)
-		case <-t.C:
-			c.SetStatusCode(504)
-		}
-	}}
-	addr := ln.Addr().String()
+// liveHandler answers a request over a real socket, now or later.
+type liveHandler func(method, path string, body []byte, answer func(response))
+
+// serve serves at a listener and returns its address.
+func (l *LiveNetwork) serve(listener net.Listener, handle liveHandler) string {
+	server := &fasthttp.Server{
+		NoDefaultServerHeader: true,
+		IdleTimeout:           2 * maxResponseTime,
+		Handler:               func(request *fasthttp.RequestCtx) { l.handle(request, handle) },
+	}
+	address := listener.Addr().String()
 	l.mu.Lock()
-	l.servers[addr] = s
+	l.servers[address] = server
 	l.mu.Unlock()
-	go func() { _ = s.Serve(ln) }()
-	return addr
+	go func() { _ = server.Serve(listener) }() // it returns when the server is shut down
+	return address
 }
 
-func (l *LiveNetwork) unlisten(addr string) {
+// handle answers one request: with 503 when Run has ended, with 504 when the answer takes
+// too long.
+func (l *LiveNetwork) handle(request *fasthttp.RequestCtx, handle liveHandler) {
+	answers := make(chan response, 1)
+	method, path := string(request.Method()), string(request.Request.RequestURI())
+	body := append([]byte(nil), request.PostBody()...)
+	handle(method, path, body, func(answer response) {
+		select {
+		case answers <- answer:
+		default: // only the first one counts
+		}
+	})
+	timer := time.NewTimer(maxResponseTime)
+	defer timer.Stop()
+	select {
+	case answer := <-answers:
+		request.Response.Header.SetContentType(contentTypeCBOR)
+		request.SetStatusCode(answer.status)
+		request.SetBody(answer.body)
+	case <-l.done:
+		request.SetStatusCode(http.StatusServiceUnavailable)
+	case <-timer.C:
+		request.SetStatusCode(http.StatusGatewayTimeout)
+	}
+}
+
+// unlisten shuts the server at an address down.
+func (l *LiveNetwork) unlisten(address string) {
 	l.mu.Lock()
-	s := l.servers[addr]
-	delete(l.servers, addr)
+	server := l.servers[address]
+	delete(l.servers, address)
 	l.mu.Unlock()
-	if s != nil {
-		go func() { _ = s.Shutdown() }()
+	if server != nil {
+		shutDown(server)
 	}
 }
 
-// request makes one request; done runs on the owner's goroutine, with status 0
-// when there was no answer.
-func (l *LiveNetwork) request(addr, method, path string, body []byte, timeout time.Duration, done func(status int, b []byte)) {
+// request makes one request; done runs on the owner's goroutine, with status noAnswer
+// when there was none.
+func (l *LiveNetwork) request(address, method, path string, body []byte, timeout time.Duration, done func(status int, body []byte)) {
 	go func() {
-		status, b := l.exchange(addr, method, path, body, timeout)
-		l.post(func() { done(status, b) })
+		answer := l.exchange(address, method, path, body, timeout)
+		l.post(func() { done(answer.status, answer.body) })
 	}()
 }
 
-func (l *LiveNetwork) exchange(addr, method, path string, body []byte, timeout time.Duration) (int, []byte) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + addr + path)
-	req.Header.SetMethod(method)
+// exchange makes one request and waits for its answer.
+func (l *LiveNetwork) exchange(address, method, path string, body []byte, timeout time.Duration) response {
+	request, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(answer)
+	request.SetRequestURI("http://" + address + path)
+	request.Header.SetMethod(method)
 	if body != nil {
-		req.Header.SetContentType("application/cbor")
-		req.SetBodyRaw(body)
+		request.Header.SetContentType(contentTypeCBOR)
+		request.SetBodyRaw(body)
 	}
-	if err := l.client.DoTimeout(req, resp, timeout); err != nil {
-		return 0, nil
+	if err := l.client.DoTimeout(request, answer, timeout); err != nil {
+		return response{status: noAnswer}
 	}
-	return resp.StatusCode(), append([]byte(nil), resp.Body()...)
+	return response{status: answer.StatusCode(), body: append([]byte(nil), answer.Body()...)}
 }
 
-// AddCluster puts the surroundings of a cluster there: platform settings of each
-// controller, with real addresses, and machines that are up. The controllers
-// themselves are processes of their own.
-func (l *LiveNetwork) AddCluster(name string, p []settings.Platform, machines int, left int) *Cluster {
-	network := l.net
-	var cluster *Cluster
+// AddCluster adds the surroundings of a cluster: the platform's settings of each of its
+// controllers, with real addresses, and machines that are up. capacity is how many more
+// of each offer there are to rent. The controllers are processes of their own.
+func (l *LiveNetwork) AddCluster(name string, platforms []settings.Platform, machines, capacity int) (cluster *Cluster) {
 	l.Do(func() {
-		cluster = network.newCluster(name)
-		for i := range p {
-			cluster.controllerNames = append(cluster.controllerNames, p[i].Name)
-			cluster.Controllers[p[i].Name] = &ControllerProcess{cluster: cluster, name: p[i].Name, settings: &settings.Settings{Platform: p[i], Operators: settings.Defaults()}}
+		cluster = l.network.newCluster(name)
+		for i := range platforms {
+			cluster.addExternalController(&platforms[i])
 		}
 		cluster.Settings = cluster.Controllers[cluster.controllerNames[0]].settings
-		cluster.State, cluster.Cloud = newStateService(cluster), newCloud(cluster)
+		cluster.State = newStateService(cluster)
+		cluster.Cloud = newCloud(cluster)
 		zones := cluster.Settings.Deployment.Zones
 		for i := range cluster.Cloud.Types {
 			cluster.Cloud.Types[i].Zones = zones
 		}
-		for i := 0; i < machines; i++ {
-			typ := "small"
+		for i := range machines {
+			typeName := "small"
 			if i%4 == 3 {
-				typ = "big"
-			}
-			cluster.AddMachine(typ, zones[i%len(zones)], false)
-		}
-		for _, t := range cluster.Cloud.Types {
-			for _, zone := range zones {
-				cluster.Cloud.Capacity[fmt.Sprintf("%s/%s/false", t.Name, zone)] = left
-				cluster.Cloud.Capacity[fmt.Sprintf("%s/%s/true", t.Name, zone)] = left
+				typeName = "big"
 			}
+			cluster.AddMachine(typeName, zones[i%len(zones)], false)
 		}
+		cluster.Cloud.setCapacity(zones, capacity)
 	})
 	return cluster
 }
 
-// Violations lists the rules that were seen broken; to be called after Run's end.
-func (l *LiveNetwork) Violations() []string { return l.net.Violations }
+// addExternalController notes the settings of a controller that runs elsewhere.
+func (c *Cluster) addExternalController(platform *settings.Platform) {
+	c.controllerNames = append(c.controllerNames, platform.Name)
+	c.Controllers[platform.Name] = &ControllerProcess{
+		cluster:  c,
+		name:     platform.Name,
+		settings: &settings.Settings{Platform: *platform, Operators: settings.Defaults()},
+	}
+}
+
+// setCapacity sets how many machines there are to rent of each type in each zone, spot
+// and not.
+func (c *Cloud) setCapacity(zones []string, capacity int) {
+	for i := range c.Types {
+		for _, zone := range zones {
+			c.Capacity[Offer{Type: c.Types[i].Name, Zone: zone, Spot: false}] = capacity
+			c.Capacity[Offer{Type: c.Types[i].Name, Zone: zone, Spot: true}] = capacity
+		}
+	}
+}
+
+// Violations lists the invariants that were seen violated; to be called after Run has
+// ended.
+func (l *LiveNetwork) Violations() []string { return l.network.Violations }
--- a/internal/simulator/load_balancer.go
+++ b/internal/simulator/load_balancer.go
@@ -2,101 +2,137 @@
 
 import (
 	"net"
+	"net/http"
 	"sync"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
-// LoadBalancer is what users of a cluster speak to: it gives each request to a
-// healthy controller, and keeps the descriptions of submitted jobs, which
-// workers fetch by themselves (users upload them).
+// Times and limits of the load balancer.
+const (
+	probeInterval   = time.Second
+	probeTimeout    = time.Second
+	forwardTimeout  = 5 * time.Second
+	maxForwardTries = 3
+	pathHealthCheck = "/up"
+
+	// maxFailedProbes is how many probes in a row a controller may fail and still get
+	// requests.
+	maxFailedProbes = 1
+)
+
+// LoadBalancer is what users of a live cluster speak to: it gives each request to a
+// healthy controller, and keeps the descriptions of submitted jobs, which machines fetch
+// by themselves (users upload them).
 type LoadBalancer struct {
+	Address string
+
 	live         *LiveNetwork
 	cluster      *Cluster
-	addresses    []string
+	addresses    []string // of the controllers
 	mu           sync.Mutex
-	failedProbes map[string]int
-	nextIndex    int
-	Address      string
+	failedProbes map[string]int // in a row, by address; none: not yet probed
+	nextIndex    int            // of the address for the next request
 }
 
-// StartLoadBalancer starts it.
+// StartLoadBalancer starts the load balancer of a cluster; an error if it finds no port.
 func (l *LiveNetwork) StartLoadBalancer(cluster *Cluster) (*LoadBalancer, error) {
-	f := &LoadBalancer{live: l, cluster: cluster, failedProbes: map[string]int{}}
+	balancer := &LoadBalancer{live: l, cluster: cluster, failedProbes: map[string]int{}}
 	for _, name := range cluster.controllerNames {
-		f.addresses = append(f.addresses, cluster.apiAddress(name))
+		balancer.addresses = append(balancer.addresses, cluster.apiAddress(name))
 	}
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", loopbackAnyPort)
 	if err != nil {
 		return nil, err
 	}
-	f.Address = l.serve(ln, func(method, path string, body []byte, answer func(response)) { answer(f.forward(method, path, body)) })
-	go f.probe()
-	return f, nil
+	balancer.Address = l.serve(listener, func(method, path string, body []byte, answer func(response)) {
+		answer(balancer.forward(method, path, body))
+	})
+	go balancer.probe()
+	return balancer, nil
 }
 
 // probe asks each controller every second whether it can take requests.
 func (b *LoadBalancer) probe() {
 	for {
-		for _, a := range b.addresses {
-			status, _ := b.live.exchange(a, "GET", "/up", nil, time.Second)
-			b.mu.Lock()
-			if status == 200 {
-				b.failedProbes[a] = 0
-			} else {
-				b.failedProbes[a]++
-			}
-			b.mu.Unlock()
+		for _, address := range b.addresses {
+			answer := b.live.exchange(address, http.MethodGet, pathHealthCheck, nil, probeTimeout)
+			b.recordProbe(address, answer.status == http.StatusOK)
 		}
 		select {
 		case <-b.live.done:
 			return
-		case <-time.After(time.Second):
+		case <-time.After(probeInterval):
 		}
 	}
 }
 
+func (b *LoadBalancer) recordProbe(address string, healthy bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if healthy {
+		b.failedProbes[address] = 0
+	} else {
+		b.failedProbes[address]++
+	}
+}
+
 // HealthyControllers counts the controllers that can take requests.
-func (f *LoadBalancer) HealthyControllers() (n int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, a := range f.addresses {
-		if b, probed := f.failedProbes[a]; probed && b == 0 {
-			n++
+func (b *LoadBalancer) HealthyControllers() (count int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, address := range b.addresses {
+		if failures, probed := b.failedProbes[address]; probed && failures == 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (f *LoadBalancer) forward(method, path string, body []byte) response {
-	if method == "POST" && path == "/v2/runs" {
-		var sub protocol.Submission
-		if protocol.IsMap(body) && protocol.Decode(body, &sub) == nil {
-			if job, err := sub.Validate(); err == nil {
-				f.live.Do(func() {
-					if f.cluster.jobs[job.ID] == nil {
-						f.cluster.jobs[job.ID] = job
-					}
-				})
-			}
-		}
+// forward gives a request to a controller, and to others if it does not answer; 503 if
+// none does.
+func (b *LoadBalancer) forward(method, path string, body []byte) response {
+	if method == http.MethodPost && path == pathJobs {
+		b.rememberJob(body)
 	}
-	for try := 0; try < 3; try++ {
-		f.mu.Lock()
-		f.nextIndex++
-		api := f.addresses[f.nextIndex%len(f.addresses)]
-		for k := 0; k < len(f.addresses) && f.failedProbes[api] > 1; k++ {
-			f.nextIndex++
-			api = f.addresses[f.nextIndex%len(f.addresses)]
+	for range maxForwardTries {
+		address := b.nextAddress()
+		if answer := b.live.exchange(address, method, path, body, forwardTimeout); answer.status != noAnswer {
+			return answer
 		}
-		f.mu.Unlock()
-		if status, b := f.live.exchange(api, method, path, body, 5*time.Second); status != 0 {
-			return response{status, b}
+		b.recordProbe(address, false)
+	}
+	return response{http.StatusServiceUnavailable, protocol.Encode(&protocol.ErrorResponse{Error: "no controller answers"})}
+}
+
+// rememberJob keeps the description of a submitted job, if it is valid and new.
+func (b *LoadBalancer) rememberJob(body []byte) {
+	var submission protocol.Submission
+	if !protocol.IsMap(body) || protocol.Decode(body, &submission) != nil {
+		return
+	}
+	job, err := submission.Validate()
+	if err != nil {
+		return
+	}
+	b.live.Do(func() {
+		if b.cluster.jobs[job.ID] == nil {
+			b.cluster.jobs[job.ID] = job
 		}
-		f.mu.Lock()
-		f.failedProbes[api]++
-		f.mu.Unlock()
+	})
+}
+
+// nextAddress takes turns among the controllers that are not known to fail; among all if
+// all are.
+func (b *LoadBalancer) nextAddress() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.nextIndex++
+	address := b.addresses[b.nextIndex%len(b.addresses)]
+	for tries := 0; tries < len(b.addresses) && b.failedProbes[address] > maxFailedProbes; tries++ {
+		b.nextIndex++
+		address = b.addresses[b.nextIndex%len(b.addresses)]
 	}
-	return response{503, protocol.Encode(&protocol.ErrorResponse{Error: "no controller answers"})}
+	return address
 }
--- a/internal/simulator/lost_write_answers_test.go
+++ b/internal/simulator/lost_write_answers_test.go
@@ -19,12 +19,12 @@
 		for seed := uint64(2100); seed < 2103; seed++ {
 			cluster := newMonitoredCluster(seed+10*uint64(k), 60)
 			machines := addMachines(cluster, 6, 0)
-			cluster.Cloud.Capacity["small/a/false"] = 3
+			cluster.Cloud.Capacity[Offer{"small", "a", false}] = 3
 			lost := cluster.delayWritesFor(7, 45, 0.7, 0.001, 0.003, kind.is)
 			cluster.pollEveryController(rand.New(rand.NewPCG(seed, 5)), 0.2)
 			cluster.makePartsUneven()
-			cluster.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 5, 4, 6, nil)) // larger than a part
-			cluster.cutLinksFor(9, 30, [][2]string{{"n0", "n2"}})                       // signs of life
+			cluster.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 5, 4, 6)) // larger than a part
+			cluster.cutLinksFor(9, 30, []link{{"n0", "n2"}})                       // signs of life
 			cluster.refuseControllersFor(11, 17, largestOwnerOnly)
 			cluster.At(14, func() { machines[5].Die() })
 			cluster.restartQuickly(22, 0.5, cluster.nonLeaderOwner)
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -6,11 +6,19 @@
 	"slices"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
-// Machine is a stand-in for a machine and its worker.
+// Machine simulates a machine and the agent on it.
 type Machine struct {
+	// Hung: it does nothing, and goes on with all that was due when it ends.
+	Hung bool
+	// Faulty: every task fails on it.
+	Faulty bool
+	// ClockRate is the rate of its steady clock; 0: exact.
+	ClockRate float64
+
 	cluster     *Cluster
 	id          string
 	address     string
@@ -20,108 +28,150 @@
 	rentedAt    time.Duration
 	running     bool
 	deleted     bool
-	Hung        bool
-	ClockRate   float64 // of its steady clock; 0: exact
-	Faulty      bool
-
-	session, sequence, token uint64
-	leaseStart               time.Duration // of the session, or sent time of the last answered report
-	evictionAt               time.Duration
-	evictionAnnounced        bool
-	controllerIndex          int
-	reporting                bool
-	timerGeneration          int
-	lastSent                 time.Duration
-	attempts                 []*attempt
-	incarnation              int
+	incarnation int // counts reboots
+
+	session  uint64 // of the agent; a new one begins when its lease has expired
+	sequence uint64 // of the last report of the session
+	token    uint64 // highest fencing token seen
+
+	leaseStart       time.Duration // start of the session, or when the last answered report was sent
+	evictionAt       time.Duration
+	evictionNotified bool
+	controllerIndex  int // of the controller that it reports to
+	reporting        bool
+	reportTimer      int // counts timers of the next report: earlier ones are void
+	lastSent         time.Duration
+	attempts         []*taskAttempt
 }
 
-// AddMachine puts a running machine there.
-func (c *Cluster) AddMachine(typ, zone string, spot bool) *Machine {
+// Times of a machine's own checks.
+const (
+	firstReportDelay   = 10 * time.Millisecond
+	firstLeaseCheck    = time.Second
+	leaseCheckInterval = 100 * time.Millisecond
+	hungRetryInterval  = time.Second
+)
+
+// Why a machine lost all that was on it; see Observation.What.
+const (
+	observedMachineGone = "machine gone"
+	observedKilled      = "killed"
+)
+
+// AddMachine adds a running machine of a type in a zone.
+func (c *Cluster) AddMachine(typeName, zone string, spot bool) *Machine {
 	c.Cloud.machineCount++
-	id := c.address(fmt.Sprintf("i-%03d", c.Cloud.machineCount))
-	machine := &Machine{cluster: c, id: id, zone: zone, spot: spot, rentedAt: c.now, running: true, session: 1, leaseStart: c.now}
-	for _, t := range c.Cloud.Types {
-		if t.Name == typ {
-			machine.machineType = t
+	machine := &Machine{
+		cluster:    c,
+		id:         c.address(fmt.Sprintf("i-%03d", c.Cloud.machineCount)),
+		zone:       zone,
+		spot:       spot,
+		rentedAt:   c.now,
+		running:    true,
+		session:    1,
+		leaseStart: c.now,
+	}
+	for _, machineType := range c.Cloud.Types {
+		if machineType.Name == typeName {
+			machine.machineType = machineType
 		}
 	}
-	c.Machines[id] = machine
-	machine.address = c.listen("w-"+id, machine.serve)
-	c.after(10*time.Millisecond, machine.sendReport)
-	c.after(time.Second, machine.checkLease)
+	c.Machines[machine.id] = machine
+	machine.address = c.listen("w-"+machine.id, machine.serve)
+	c.after(firstReportDelay, machine.sendReport)
+	c.after(firstLeaseCheck, machine.checkLease)
 	return machine
 }
 
 // ID is the machine's name.
 func (m *Machine) ID() string { return m.id }
 
-// Address is its address, for cuts.
+// Address is its address on the network.
 func (m *Machine) Address() string { return m.address }
 
+// machineIDs lists all machines that ever were, in order.
 func (c *Cluster) machineIDs() []string {
 	return slices.Sorted(maps.Keys(c.Machines))
 }
 
+// remove takes the machine away with all that is on it.
 func (m *Machine) remove() {
-	m.observeLoss("machine gone")
-	m.deleted, m.running, m.attempts = true, false, nil
+	m.observeLoss(observedMachineGone)
+	m.deleted = true
+	m.running = false
+	m.attempts = nil
 	m.cluster.unlisten(m.address)
 }
 
-// Die takes the machine away without a word.
+// Die takes the machine away without warning.
 func (m *Machine) Die() {
 	m.cluster.Trace("%s dies", m.id)
 	m.remove()
 }
 
-// Reboot ends the machine and has it back under its name after a while: with no
-// tasks, no token, and numbers from the beginning.
-func (m *Machine) Reboot(duration time.Duration) {
+// Reboot ends the machine and has it back under its name after a while: with no tasks,
+// no token, and numbers from the beginning.
+func (m *Machine) Reboot(downtime time.Duration) {
 	if m.deleted {
 		return
 	}
 	m.cluster.Trace("%s ends and will be back", m.id)
-	m.observeLoss("machine gone")
+	m.observeLoss(observedMachineGone)
 	m.incarnation++
-	m.running, m.attempts = false, nil
-	m.timerGeneration++
-	m.cluster.after(duration, func() {
+	m.running = false
+	m.attempts = nil
+	m.reportTimer++
+	m.cluster.after(downtime, func() {
 		if m.deleted || m.running {
 			return
 		}
-		m.running, m.reporting, m.session, m.sequence, m.token, m.leaseStart = true, false, 1, 0, 0, m.cluster.now
+		m.running = true
+		m.reporting = false
+		m.session = 1
+		m.sequence = 0
+		m.token = 0
+		m.leaseStart = m.cluster.now
 		m.sendReport()
 	})
 }
 
-// AnnounceEviction announces that the machine will be taken, and takes it.
-func (m *Machine) AnnounceEviction(duration time.Duration) {
+// AnnounceEviction announces that the spot machine will be taken, and takes it after
+// the time of notice.
+func (m *Machine) AnnounceEviction(notice time.Duration) {
 	m.cluster.Trace("%s gets a spot notice", m.id)
-	m.evictionAnnounced, m.evictionAt = true, m.cluster.now+duration
+	m.evictionNotified = true
+	m.evictionAt = m.cluster.now + notice
 	m.reportSoon()
-	m.cluster.after(duration, func() {
-		if !m.deleted {
-			m.cluster.Trace("%s is taken", m.id)
-			m.remove()
+	m.cluster.after(notice, func() {
+		if m.deleted {
+			return
 		}
+		m.cluster.Trace("%s is taken", m.id)
+		m.remove()
 	})
 }
 
+// checkLease kills all tasks once no report was answered for a lease. A machine that
+// hangs is checked too: it may resume only within its lease.
 func (m *Machine) checkLease() {
 	if m.deleted {
 		return
 	}
-	// A machine that hangs may resume only within its lease.
-	if m.running && time.Duration(float64(m.cluster.now-m.leaseStart)*orOne(m.ClockRate)) > time.Duration(m.cluster.Settings.Deployment.Workers.Lease*float64(time.Second)) {
-		if len(m.attempts) > 0 {
-			m.cluster.Trace("%s lease over, kills %d", m.id, len(m.attempts))
-		}
-		m.observeLoss("killed")
-		m.attempts = nil
-		m.session++
-		m.leaseStart = m.cluster.now
-		m.sequence = 0
+	elapsed := time.Duration(float64(m.cluster.now-m.leaseStart) * factorOrOne(m.ClockRate))
+	if m.running && elapsed > env.Seconds(m.cluster.Settings.Deployment.Workers.Lease) {
+		m.loseLease()
+	}
+	m.cluster.after(leaseCheckInterval, m.checkLease)
+}
+
+// loseLease kills all tasks and begins a new session.
+func (m *Machine) loseLease() {
+	if len(m.attempts) > 0 {
+		m.cluster.Trace("%s lease over, kills %d", m.id, len(m.attempts))
 	}
-	m.cluster.after(100*time.Millisecond, m.checkLease)
+	m.observeLoss(observedKilled)
+	m.attempts = nil
+	m.session++
+	m.leaseStart = m.cluster.now
+	m.sequence = 0
 }
--- a/internal/simulator/machine_boot_test.go
+++ b/internal/simulator/machine_boot_test.go
@@ -34,21 +34,19 @@
 				cluster := newMonitoredCluster(seed, 60)
 				cluster.Cloud.BootTimeFactor = 0.06
 				for _, zone := range []string{"a", "b"} {
-					cluster.Cloud.Capacity["small/"+zone+"/false"] = 5
-					cluster.Cloud.Capacity["small/"+zone+"/true"] = 3
+					cluster.Cloud.Capacity[Offer{"small", zone, false}] = 5
+					cluster.Cloud.Capacity[Offer{"small", zone, true}] = 3
 				}
 				addMachines(cluster, 2, 0)
 				lags[lag](cluster)
 				if single {
-					for _, name := range cluster.controllerNames {
-						cluster.Controllers[name].settings.Dispatch.Anywhere = 0
-					}
+					cluster.placeSingleTasksAnywhere()
 					for i := range 30 {
-						cluster.Submit(9+float64(i)/10, NewSubmission(fmt.Sprintf("wk-s%d", i), protocol.ShapeArray, 1, 1, 8, nil))
+						cluster.Submit(9+float64(i)/10, NewSubmission(fmt.Sprintf("wk-s%d", i), protocol.ShapeArray, 1, 1, 8))
 					}
 				} else {
 					submitArrays(cluster, "wk-a", 9, 4, 10, 8)
-					cluster.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 3, 4, 8, nil))
+					cluster.Submit(10, NewSubmission("wk-g", protocol.ShapeGang, 3, 4, 8))
 				}
 				met := false
 				cluster.OnRequest = func(_, method, path string) {
--- a/internal/simulator/machine_commands.go
+++ b/internal/simulator/machine_commands.go
@@ -1,133 +1,138 @@
 package simulator
 
 import (
-	"time"
+	"net/http"
+	"slices"
 
 	"curlewspool/internal/agent"
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
+// pathStatus is where a machine says what is on it; all else is taken as commands.
+const pathStatus = "/status"
+
+// roundingError is how far sums of resources may be off.
+const roundingError = 1e-9
+
+// serve answers a controller. A machine that is gone is silent; one that hangs answers
+// when it goes on.
 func (m *Machine) serve(method, path string, body []byte, reply func(int, any)) {
 	if m.deleted || !m.running {
 		return
 	}
 	if m.Hung {
-		m.cluster.after(time.Second, func() { m.serve(method, path, body, reply) })
+		m.cluster.after(hungRetryInterval, func() { m.serve(method, path, body, reply) })
 		return
 	}
-	if path == "/status" {
-		reply(200, m.buildReport())
+	if path == pathStatus {
+		reply(http.StatusOK, m.buildReport())
 		return
 	}
-	var c protocol.CommandBatch
-	if protocol.Decode(body, &c) != nil || c.FencingToken == 0 || c.Incarnation == 0 {
-		reply(400, nil)
+	var batch protocol.CommandBatch
+	if protocol.Decode(body, &batch) != nil || batch.FencingToken == 0 || batch.Incarnation == 0 {
+		reply(http.StatusBadRequest, nil)
 		return
 	}
-	if c.FencingToken < m.token || c.Incarnation != m.session {
-		reply(409, m.buildReport())
+	if batch.FencingToken < m.token || batch.Incarnation != m.session {
+		reply(http.StatusConflict, m.buildReport())
 		return
 	}
-	m.token = c.FencingToken
-	m.executeCommands(c.Commands)
-	reply(200, m.buildReport())
+	m.token = batch.FencingToken
+	m.executeCommands(batch.Commands)
+	reply(http.StatusOK, m.buildReport())
 }
 
-func (m *Machine) findAttempt(piece string, try uint64) *attempt {
-	for _, t := range m.attempts {
-		if t.String() == piece && t.number == try {
-			return t
+// findAttempt returns the attempt of a task with a number; nil if it is not here.
+func (m *Machine) findAttempt(task string, number uint64) *taskAttempt {
+	for _, attempt := range m.attempts {
+		if attempt.String() == task && attempt.number == number {
+			return attempt
 		}
 	}
 	return nil
 }
 
-func (m *Machine) executeCommands(orders []protocol.Command) bool {
-	did := false
-	for _, command := range orders {
-		t := m.findAttempt(command.Task, command.Attempt)
+// executeCommands executes commands in order and tells whether any launched or stopped
+// something. What was executed before is not repeated.
+func (m *Machine) executeCommands(commands []protocol.Command) (changed bool) {
+	for _, command := range commands {
+		attempt := m.findAttempt(command.Task, command.Attempt)
 		switch command.Verb {
 		case protocol.CommandLaunch:
-			if t == nil {
+			if attempt == nil {
 				m.launch(command)
-				did = true
+				changed = true
 			}
 		case protocol.CommandStop:
-			if t != nil && t.state != protocol.TaskEnded {
-				m.stopTask(t, command.GraceSeconds)
-				did = true
+			if attempt != nil && attempt.state != protocol.TaskEnded {
+				m.stopTask(attempt, command.GraceSeconds)
+				changed = true
 			}
 		case protocol.CommandAcknowledge:
-			if t != nil && t.state == protocol.TaskEnded {
-				for i := range m.attempts {
-					if m.attempts[i] == t {
-						m.attempts = append(m.attempts[:i:i], m.attempts[i+1:]...)
-						break
-					}
-				}
+			if attempt != nil && attempt.state == protocol.TaskEnded {
+				i := slices.Index(m.attempts, attempt)
+				m.attempts = append(m.attempts[:i:i], m.attempts[i+1:]...)
 			}
 		}
 	}
-	return did
+	return changed
 }
 
+// launch begins an attempt, or refuses it: then it ends at once with the cause.
 func (m *Machine) launch(command protocol.Command) {
-	key, _ := agent.ParseTaskID(command.Task)
-	t := &attempt{TaskID: key, number: command.Attempt}
-	m.attempts = append(m.attempts, t)
-	if home, whose := m.cluster.origin(key); home.cancelledAt[whose.Job] > 1 {
-		home.histories.job(whose.Job).launchesAfterCancellation++
-	}
-	job := m.cluster.jobByID(key.Job)
-	refuse := func(cause protocol.TerminationCause) { t.state, t.cause = protocol.TaskEnded, cause }
-	if job == nil || key.Index >= job.Tasks {
-		refuse(protocol.CauseUnknownTask)
+	task, _ := agent.ParseTaskID(command.Task) // of none: a job that nobody knows
+	attempt := &taskAttempt{TaskID: task, number: command.Attempt}
+	m.attempts = append(m.attempts, attempt)
+	m.cluster.countLaunchAfterCancellation(task)
+	job := m.cluster.jobByID(task.Job)
+	if cause := m.refusalCause(attempt, job); cause != "" {
+		attempt.state = protocol.TaskEnded
+		attempt.cause = cause
 		return
 	}
-	cores, mem, gpus := m.machineType.Cores, m.machineType.MemoryGB, m.machineType.GPUs
-	for _, x := range m.attempts {
-		if job := m.cluster.jobByID(x.Job); x != t && x.state != protocol.TaskEnded && job != nil {
-			if x.TaskID == key {
-				refuse(protocol.CauseOtherAttemptPresent)
-				return
-			}
-			cores, mem, gpus = cores-job.Cores, mem-job.MemoryGB, gpus-job.GPUs
-		}
-	}
-	if cores < job.Cores-1e-9 || mem < job.MemoryGB-1e-9 || gpus < job.GPUs-1e-9 {
-		refuse(protocol.CauseMachineFull)
-		return
+	attempt.state = protocol.TaskPullingImage
+	m.scheduleStep(attempt, env.Seconds(job.ImageGB/m.machineType.FetchGBPerSecond), func() { m.startTask(attempt, job) })
+}
+
+// refusalCause says why an attempt that was just added can't begin here; "": it can.
+func (m *Machine) refusalCause(attempt *taskAttempt, job *protocol.Job) protocol.TerminationCause {
+	if job == nil || attempt.Index >= job.Tasks {
+		return protocol.CauseUnknownTask
 	}
-	t.state = protocol.TaskPullingImage
-	m.scheduleStep(t, time.Duration(job.ImageGB/m.machineType.FetchGBPerSecond*float64(time.Second)), func() {
-		if m.Faulty || m.cluster.FailingJobs[key.Job] {
-			m.cluster.FailedStarts = append(m.cluster.FailedStarts, key)
-			m.endAttempt(t, protocol.CauseError)
-			return
+	free := m.machineType
+	for _, other := range m.attempts {
+		otherJob := m.cluster.jobByID(other.Job)
+		if other == attempt || other.state == protocol.TaskEnded || otherJob == nil {
+			continue
 		}
-		t.present = true
-		m.observe(t, "start")
-		m.cluster.recordStart(m, t, job)
-		if job.Shape == protocol.ShapeGang {
-			t.state = protocol.TaskWaitingForGang
-			m.scheduleStep(t, time.Duration(m.cluster.Settings.Deployment.Workers.GangWait*float64(time.Second)), func() { m.endAttempt(t, protocol.CauseGangIncomplete) })
-			m.reportSoon()
-			m.cluster.startGang(job, t.number)
-			return
+		if other.TaskID == attempt.TaskID {
+			return protocol.CauseOtherAttemptPresent
 		}
-		m.runTask(t, job)
-	})
+		free.Cores -= otherJob.Cores
+		free.MemoryGB -= otherJob.MemoryGB
+		free.GPUs -= otherJob.GPUs
+	}
+	if free.Cores < job.Cores-roundingError || free.MemoryGB < job.MemoryGB-roundingError || free.GPUs < job.GPUs-roundingError {
+		return protocol.CauseMachineFull
+	}
+	return ""
 }
 
-func (m *Machine) stopTask(t *attempt, grace *float64) {
-	job := m.cluster.jobByID(t.Job)
-	if t.state == protocol.TaskRunning && job.CheckpointInterval > 0 && grace != nil && *grace >= job.CheckpointDuration {
-		t.state = protocol.TaskCheckpointing
-		m.scheduleStep(t, time.Duration(job.CheckpointDuration*float64(time.Second)), func() { t.saved = true; m.endAttempt(t, protocol.CauseStopped) })
+// stopTask stops an attempt, after a checkpoint if its job makes some and the time of
+// grace is long enough for one.
+func (m *Machine) stopTask(attempt *taskAttempt, graceSeconds *float64) {
+	job := m.cluster.jobByID(attempt.Job)
+	if attempt.state == protocol.TaskRunning && job.CheckpointInterval > 0 && graceSeconds != nil && *graceSeconds >= job.CheckpointDuration {
+		attempt.state = protocol.TaskCheckpointing
+		m.scheduleStep(attempt, env.Seconds(job.CheckpointDuration), func() {
+			attempt.checkpointed = true
+			m.endAttempt(attempt, protocol.CauseStopped)
+		})
 		return
 	}
-	if t.state == protocol.TaskCheckpointing && grace != nil && *grace > 0 {
-		return
+	if attempt.state == protocol.TaskCheckpointing && graceSeconds != nil && *graceSeconds > 0 {
+		return // it goes on with its checkpoint
 	}
-	m.endAttempt(t, protocol.CauseStopped)
+	m.endAttempt(attempt, protocol.CauseStopped)
 }
--- a/internal/simulator/machine_failure_test.go
+++ b/internal/simulator/machine_failure_test.go
@@ -13,7 +13,7 @@
 func TestMachineSilentPastItsLease(t *testing.T) {
 	cluster := playTraced(t, "silent-worker", 7, 110, func(cluster *Cluster) {
 		machines := addMachines(cluster, 4, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30))
 		cluster.cutLinksFor(12, 60, cluster.machineLinks(machines[0]))
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
@@ -23,8 +23,8 @@
 func TestHungMachineResumesWithinItsLease(t *testing.T) {
 	cluster := playTraced(t, "hung-worker", 8, 110, func(cluster *Cluster) {
 		machines := addMachines(cluster, 4, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30, nil))
-		cluster.Submit(8, NewSubmission("wk-2", protocol.ShapeArray, 8, 1, 10, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30))
+		cluster.Submit(8, NewSubmission("wk-2", protocol.ShapeArray, 8, 1, 10))
 		cluster.At(7, func() { machines[1].Hung = true })
 		cluster.At(16, func() { machines[1].Hung = false })
 		cluster.Cancel(12, "wk-2")
@@ -38,10 +38,7 @@
 	cluster := playTraced(t, "spot-notice", 9, 110, func(cluster *Cluster) {
 		machine := cluster.AddMachine("small", "a", true)
 		addMachines(cluster, 2, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40, func(submission *protocol.Submission) {
-			m, v := 10.0, 2.0
-			submission.CheckpointInterval, submission.CheckpointDuration = &m, &v
-		}))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40, withCheckpoints(10, 2)))
 		cluster.At(20, func() { machine.AnnounceEviction(8 * time.Second) })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
@@ -55,10 +52,7 @@
 			machines = append(machines, cluster.AddMachine("small", []string{"a", "b"}[i%2], true))
 		}
 		addMachines(cluster, 3, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 30, func(submission *protocol.Submission) {
-			m, v := 10.0, 2.0
-			submission.CheckpointInterval, submission.CheckpointDuration = &m, &v
-		}))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 30, withCheckpoints(10, 2)))
 		for i, machine := range machines {
 			cluster.At(20+float64(i), func() {
 				if i%2 == 0 {
@@ -76,10 +70,10 @@
 func TestManyMachinesFail(t *testing.T) {
 	cluster := playTraced(t, "many-machines", 24, 200, func(cluster *Cluster) {
 		machines := addMachines(cluster, 12, 0)
-		cluster.Cloud.Capacity["small/a/false"] = 4
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 48, 1, 15, nil))
-		cluster.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 24, 1, 10, nil))
-		cluster.Submit(18, NewSubmission("wk-3", protocol.ShapeArray, 24, 1, 10, nil))
+		cluster.Cloud.Capacity[Offer{"small", "a", false}] = 4
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 48, 1, 15))
+		cluster.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 24, 1, 10))
+		cluster.Submit(18, NewSubmission("wk-3", protocol.ShapeArray, 24, 1, 10))
 		for at, on := range map[float64]bool{12: true, 50: false} {
 			cluster.At(at, func() {
 				for i := 0; i < 3; i++ {
@@ -100,7 +94,7 @@
 		machines := addMachines(cluster, 4, 0)
 		machines[0].Faulty = true
 		for i, id := range []string{"wk-1", "wk-2", "wk-3"} {
-			cluster.Submit(5+float64(i), NewSubmission(id, protocol.ShapeArray, 8, 1, 8, nil))
+			cluster.Submit(5+float64(i), NewSubmission(id, protocol.ShapeArray, 8, 1, 8))
 		}
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-3")
--- a/internal/simulator/machine_reports.go
+++ b/internal/simulator/machine_reports.go
@@ -1,96 +1,135 @@
 package simulator
 
 import (
+	"net/http"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
+// Times of a machine's reports.
+const (
+	minReportInterval = 500 * time.Millisecond
+	reportTimeout     = 4 * time.Second
+	redirectDelay     = 100 * time.Millisecond // before the report to the owner that was named
+	nextReportDelay   = time.Second            // before the report to the next controller
+)
+
+// reportAnswer is what a controller answers to a report.
 type reportAnswer struct {
 	Token  uint64             `cbor:"baton"`
 	Orders []protocol.Command `cbor:"orders"`
 	Owner  string             `cbor:"foreman"`
 }
 
+// buildReport is the next report of the session.
 func (m *Machine) buildReport() *protocol.Report {
 	m.sequence++
-	report := &protocol.Report{Machine: m.id, Address: m.address, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot, Incarnation: m.session, Sequence: m.sequence, FencingToken: m.token,
-		Tasks: []protocol.TaskReport{}}
-	if m.evictionAnnounced {
-		left := max(0, (m.evictionAt - m.cluster.now).Seconds())
-		report.PreemptionNotice = &left
+	report := &protocol.Report{
+		Machine:      m.id,
+		Address:      m.address,
+		Type:         m.machineType.Name,
+		Zone:         m.zone,
+		Spot:         m.spot,
+		Incarnation:  m.session,
+		Sequence:     m.sequence,
+		FencingToken: m.token,
+		Tasks:        []protocol.TaskReport{},
+	}
+	if m.evictionNotified {
+		secondsLeft := max(0, (m.evictionAt - m.cluster.now).Seconds())
+		report.PreemptionNotice = &secondsLeft
 	}
-	for _, t := range m.attempts {
-		report.Tasks = append(report.Tasks, protocol.TaskReport{Task: t.String(), Attempt: t.number, State: t.state, Cause: t.cause, Checkpointed: t.saved})
+	for _, attempt := range m.attempts {
+		report.Tasks = append(report.Tasks, protocol.TaskReport{
+			Task:         attempt.String(),
+			Attempt:      attempt.number,
+			State:        attempt.state,
+			Cause:        attempt.cause,
+			Checkpointed: attempt.checkpointed,
+		})
 	}
 	return report
 }
 
-// reportSoon reports soon, at most every half second.
+// reportSoon sends a report as soon as reports may follow each other.
 func (m *Machine) reportSoon() {
-	m.timerGeneration++
-	n := m.timerGeneration
-	m.cluster.after(max(0, m.lastSent+500*time.Millisecond-m.cluster.now), func() {
-		if n == m.timerGeneration {
-			m.sendReport()
-		}
-	})
+	m.reportAfter(m.lastSent + minReportInterval - m.cluster.now)
 }
 
-func (m *Machine) reportAfter(duration time.Duration) {
-	m.timerGeneration++
-	n := m.timerGeneration
-	m.cluster.after(duration, func() {
-		if n == m.timerGeneration {
+// reportAfter sends the next report after a delay, and not when it was due before.
+func (m *Machine) reportAfter(delay time.Duration) {
+	m.reportTimer++
+	timer := m.reportTimer
+	m.cluster.after(delay, func() {
+		if timer == m.reportTimer {
 			m.sendReport()
 		}
 	})
 }
 
+// sendReport sends a report unless one is on its way.
 func (m *Machine) sendReport() {
 	if m.deleted || !m.running || m.reporting {
 		return
 	}
 	if m.Hung {
-		m.reportAfter(time.Second)
+		m.reportAfter(hungRetryInterval)
 		return
 	}
 	names := m.cluster.controllerNames
-	to := names[m.controllerIndex%len(names)]
+	controller := names[m.controllerIndex%len(names)]
 	m.reporting = true
-	sent, session, life := m.cluster.now, m.session, m.incarnation
-	m.lastSent = sent
+	m.lastSent = m.cluster.now
+	sent, session, incarnation := m.cluster.now, m.session, m.incarnation
 	report := m.buildReport()
-	out := &reportAnswer{}
-	period := time.Duration(m.cluster.Settings.Deployment.Workers.Report * float64(time.Second))
-	m.cluster.request(m.address, m.cluster.apiAddress(to), "POST", "/v1/report", report, out, 4*time.Second, func(status int) {
-		if m.deleted || life != m.incarnation {
+	answer := &reportAnswer{}
+	m.cluster.request(m.address, m.cluster.apiAddress(controller), http.MethodPost, pathReport, report, answer, reportTimeout, func(status int) {
+		if m.deleted || incarnation != m.incarnation {
 			return
 		}
 		m.reporting = false
 		switch {
-		case status == 200:
-			if out.Token < m.token || session != m.session {
-				m.reportAfter(period)
-				return
-			}
-			raised := out.Token > m.token
-			m.token = out.Token
-			m.leaseStart = max(m.leaseStart, sent)
-			m.reportAfter(period)
-			if m.executeCommands(out.Orders) || raised {
-				m.reportSoon()
-			}
-		case status == 421 && out.Owner != "" && out.Owner != to:
-			for i, name := range names {
-				if name == out.Owner {
-					m.controllerIndex = i
-				}
-			}
-			m.reportAfter(100 * time.Millisecond)
+		case status == http.StatusOK && session == m.session:
+			m.handleReportAnswer(answer, sent)
+		case status == http.StatusOK:
+			m.reportAfter(m.reportInterval())
+		case status == http.StatusMisdirectedRequest && answer.Owner != "" && answer.Owner != controller:
+			m.followOwner(answer.Owner)
 		default:
 			m.controllerIndex++
-			m.reportAfter(time.Second)
+			m.reportAfter(nextReportDelay)
 		}
 	})
 }
+
+func (m *Machine) reportInterval() time.Duration {
+	return env.Seconds(m.cluster.Settings.Deployment.Workers.Report)
+}
+
+// handleReportAnswer renews the lease and executes the commands of an answer, unless its
+// fencing token is an old one. A token that is raised is shown to the controller soon.
+func (m *Machine) handleReportAnswer(answer *reportAnswer, sent time.Duration) {
+	m.reportAfter(m.reportInterval())
+	if answer.Token < m.token {
+		return
+	}
+	raised := answer.Token > m.token
+	m.token = answer.Token
+	m.leaseStart = max(m.leaseStart, sent)
+	executed := m.executeCommands(answer.Orders)
+	if executed || raised {
+		m.reportSoon()
+	}
+}
+
+// followOwner reports to the controller that was named as the machine's owner.
+func (m *Machine) followOwner(owner string) {
+	for i, name := range m.cluster.controllerNames {
+		if name == owner {
+			m.controllerIndex = i
+		}
+	}
+	m.reportAfter(redirectDelay)
+}
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -4,14 +4,17 @@
 	"strings"
 )
 
-// CutLink stops traffic between two addresses; what is sent meanwhile is held
-// back, and delivered by Heal.
+// CutLink stops traffic between two addresses; what is sent meanwhile is held back, and
+// delivered by HealLink.
 func (n *Network) CutLink(a, b string) {
 	n.Trace("cut %s - %s", a, b)
 	n.cutLink(a, b)
 }
 
-func (n *Network) cutLink(a, b string) { n.cuts[a+"|"+b], n.cuts[b+"|"+a] = true, true }
+func (n *Network) cutLink(a, b string) {
+	n.cuts[link{a, b}] = true
+	n.cuts[link{b, a}] = true
+}
 
 // HealLink ends a cut.
 func (n *Network) HealLink(a, b string) {
@@ -20,110 +23,122 @@
 }
 
 func (n *Network) healLink(a, b string) {
-	for _, key := range []string{a + "|" + b, b + "|" + a} {
-		delete(n.cuts, key)
-		for _, f := range n.heldMessages[key] {
-			n.after(n.latency(), f)
+	for _, way := range []link{{a, b}, {b, a}} {
+		delete(n.cuts, way)
+		for _, arrive := range n.heldMessages[way] {
+			n.after(n.latency(), arrive)
 		}
-		delete(n.heldMessages, key)
+		delete(n.heldMessages, way)
 	}
 }
 
-// SetInboundPartition lets nothing reach a host while what it sends arrives, or ends that.
-func (n *Network) SetInboundPartition(addr string, on bool) {
-	n.Trace("%s hears: %v", addr, !on)
-	n.inboundPartitioned[addr] = on
+// SetInboundPartition lets nothing reach a host, while what it sends arrives, or ends
+// that.
+func (n *Network) SetInboundPartition(address string, partitioned bool) {
+	n.Trace("%s hears: %v", address, !partitioned)
+	n.inboundPartitioned[address] = partitioned
 }
 
 // SetRefusal lets a service answer one host 503, or ends that.
-func (n *Network) SetRefusal(from, to string, on bool) {
-	n.Trace("%s refuses %s: %v", to, from, on)
-	n.refusals[from+"|"+to] = on
+func (n *Network) SetRefusal(from, to string, refused bool) {
+	n.Trace("%s refuses %s: %v", to, from, refused)
+	n.refusals[link{from, to}] = refused
 }
 
 // IsolateController cuts a controller off from the state service and the other
-// controllers, not from its workers and users; the function it gives ends that.
+// controllers, not from its machines and users. The returned function ends that.
 func (c *Cluster) IsolateController(name string) (heal func()) {
-	each := func(f func(a, b string)) {
-		f(c.address(name), c.address("state"))
-		for _, o := range c.controllerNames {
-			if o != name {
-				f(c.address(name), c.address(o))
-			}
+	self := c.address(name)
+	links := []link{{self, c.address(stateHost)}}
+	for _, other := range c.controllerNames {
+		if other != name {
+			links = append(links, link{self, c.address(other)})
 		}
 	}
 	c.Trace("%s is isolated", name)
-	each(c.cutLink)
+	c.cutLinks(links)
 	return func() {
 		c.Trace("%s is isolated no more", name)
-		each(c.healLink)
+		c.healLinks(links)
 	}
 }
 
-// PartitionZone cuts everything in a zone off from everything outside; the function
-// it gives heals the cut.
+// PartitionZone cuts everything in a zone off from everything outside. The returned
+// function heals the cut.
 func (c *Cluster) PartitionZone(zone string) (heal func()) {
-	inside, outside := []string{}, []string{c.address("state"), c.address("cloud"), c.address("user")}
-	place := func(z string, hosts ...string) {
-		if z == zone {
+	var inside []string
+	outside := []string{c.address(stateHost), c.address(cloudHost), c.address(userHost)}
+	place := func(zoneOfHosts string, hosts ...string) {
+		if zoneOfHosts == zone {
 			inside = append(inside, hosts...)
 		} else {
 			outside = append(outside, hosts...)
 		}
 	}
 	for _, name := range c.controllerNames {
-		place(c.Controllers[name].settings.Zone, c.address(name), c.address("api-"+name))
+		place(c.Controllers[name].settings.Zone, c.address(name), c.address(apiHost(name)))
 	}
 	for _, id := range c.machineIDs() {
 		place(c.Machines[id].zone, c.Machines[id].address)
 	}
-	each := func(f func(a, b string)) {
-		for _, a := range inside {
-			for _, b := range outside {
-				f(a, b)
-			}
+	var links []link
+	for _, a := range inside {
+		for _, b := range outside {
+			links = append(links, link{a, b})
 		}
 	}
 	c.Trace("zone %s is cut off", zone)
-	each(c.cutLink)
+	c.cutLinks(links)
 	return func() {
 		c.Trace("zone %s is back", zone)
-		each(c.healLink)
+		c.healLinks(links)
+	}
+}
+
+func (n *Network) cutLinks(links []link) {
+	for _, way := range links {
+		n.cutLink(way.from, way.to)
 	}
 }
 
-// linksBetween lists the ways between two clusters' controllers.
-func linksBetween(a, b *Cluster) (pairs [][2]string) {
-	for _, x := range a.controllerNames {
-		for _, y := range b.controllerNames {
-			pairs = append(pairs, [2]string{a.address(x), b.address("fed-" + y)}, [2]string{b.address(y), a.address("fed-" + x)})
+func (n *Network) healLinks(links []link) {
+	for _, way := range links {
+		n.healLink(way.from, way.to)
+	}
+}
+
+// linksBetween lists the links on which two clusters' controllers call each other.
+func linksBetween(a, b *Cluster) (links []link) {
+	for _, nameInA := range a.controllerNames {
+		for _, nameInB := range b.controllerNames {
+			links = append(links,
+				link{a.address(nameInA), b.address(federationHost(nameInB))},
+				link{b.address(nameInB), a.address(federationHost(nameInA))})
 		}
 	}
-	return pairs
+	return links
 }
 
-// PartitionClusters cuts two clusters off from each other, both ways or only the messages
-// from a to b; what is sent is held back, and delivered by the function it
-// gives.
+// PartitionClusters cuts two clusters off from each other, both ways or only the
+// messages from a to b. What is sent is held back, and delivered by the returned
+// function.
 func (n *Network) PartitionClusters(a, b *Cluster, oneWay bool) (heal func()) {
-	word := "-"
+	arrow := "-"
 	if oneWay {
-		word = ">"
+		arrow = ">"
 	}
-	n.Trace("cut %s %s %s", a.Name, word, b.Name)
-	ways := linksBetween(a, b)
-	for _, pair := range ways {
-		for _, k := range [][2]string{pair, {pair[1], pair[0]}} {
-			if !oneWay || strings.HasPrefix(k[0], a.Name+".") {
-				n.cuts[k[0]+"|"+k[1]] = true
+	n.Trace("cut %s %s %s", a.Name, arrow, b.Name)
+	links := linksBetween(a, b)
+	for _, both := range links {
+		for _, way := range []link{both, {both.to, both.from}} {
+			if !oneWay || strings.HasPrefix(way.from, a.Name+".") {
+				n.cuts[way] = true
 			}
 		}
 	}
 	return func() {
-		n.Trace("heal %s %s %s", a.Name, word, b.Name)
-		for _, pair := range ways {
-			n.healLink(pair[0], pair[1])
-		}
+		n.Trace("heal %s %s %s", a.Name, arrow, b.Name)
+		n.healLinks(links)
 	}
 }
 
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -13,40 +13,40 @@
 		name   string
 		script func(cluster *Cluster, machines []*Machine) []string
 	}{
-		{"burst-and-controller-lost", func(cluster *Cluster, machines []*Machine) []string {
+		{"burst-and-controller-lost", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.crashFor(11, 14, "n1")
 			return submitBurst(cluster, 10.5, 6, 6, 5)
 		}},
-		{"boots-late-or-never-and-spot-wave", func(cluster *Cluster, machines []*Machine) []string {
-			cluster.Cloud.Capacity["small/a/false"], cluster.Cloud.Capacity["small/b/true"] = 3, 3
+		{"boots-late-or-never-and-spot-wave", func(cluster *Cluster, _ []*Machine) []string {
+			cluster.Cloud.Capacity[Offer{"small", "a", false}], cluster.Cloud.Capacity[Offer{"small", "b", true}] = 3, 3
 			cluster.Cloud.BootTimeFactor, cluster.Cloud.FailingBoots = 3, 2
 			spot := []*Machine{cluster.AddMachine("small", "a", true), cluster.AddMachine("small", "b", true)}
 			cluster.At(14, func() { spot[0].AnnounceEviction(8 * time.Second) })
 			cluster.At(15, spot[1].Die)
 			return submitBurst(cluster, 6, 4, 9, 15)
 		}},
-		{"full-sockets-and-outage", func(cluster *Cluster, machines []*Machine) []string {
+		{"full-sockets-and-outage", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(10, func() { cluster.Controllers["n0"].SocketsExhausted = true })
 			cluster.At(12, func() { cluster.State.StartOutage(7 * time.Second) })
 			cluster.At(24, func() { cluster.Controllers["n0"].SocketsExhausted = false })
 			return submitBurst(cluster, 11, 4, 4, 5)
 		}},
-		{"restart-in-an-outage-and-burst", func(cluster *Cluster, machines []*Machine) []string {
+		{"restart-in-an-outage-and-burst", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() { cluster.State.StartOutage(10 * time.Second) })
 			cluster.crashFor(18, 21, cluster.controllerNames...)
 			return submitBurst(cluster, 19, 5, 4, 5)
 		}},
-		{"outage-after-a-restart", func(cluster *Cluster, machines []*Machine) []string {
+		{"outage-after-a-restart", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.crashFor(12, 15, cluster.controllerNames...)
 			cluster.At(15.02, func() { cluster.State.StartOutage(6 * time.Second) }) // they have their grants, not their parts
 			return submitBurst(cluster, 14, 3, 4, 5)
 		}},
-		{"zone-cut-and-frozen-owner", func(cluster *Cluster, machines []*Machine) []string {
+		{"zone-cut-and-frozen-owner", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() { cluster.At(40, cluster.PartitionZone("b")) })
 			cluster.At(14, func() { cluster.Controllers["n0"].Pause(9*time.Second, true) })
 			return submitBurst(cluster, 16, 2, 4, 5)
 		}},
-		{"frozen-in-a-roll", func(cluster *Cluster, machines []*Machine) []string {
+		{"frozen-in-a-roll", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.crashFor(10, 13, "n0")
 			cluster.At(14, func() { cluster.Controllers["n1"].Pause(10*time.Second, false) })
 			cluster.crashFor(20, 23, "n2")
@@ -64,14 +64,14 @@
 			return submitBurst(cluster, 12, 2, 4, 5)
 		}},
 		{"deaf-owner-and-peers-refused", func(cluster *Cluster, machines []*Machine) []string {
-			pairs := [][2]string{{"n0", "n2"}}
+			pairs := []link{{"n0", "n2"}}
 			for _, machine := range machines {
-				pairs = append(pairs, [2]string{machine.Address(), "n1"}, [2]string{machine.Address(), "api-n1"})
+				pairs = append(pairs, link{machine.Address(), "n1"}, link{machine.Address(), "api-n1"})
 			}
 			cluster.cutLinksFor(12, 45, pairs)
 			return submitBurst(cluster, 14, 2, 4, 5)
 		}},
-		{"refused-alone-and-burst", func(cluster *Cluster, machines []*Machine) []string {
+		{"refused-alone-and-burst", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(11, func() { cluster.SetRefusal("n2", "state", true) })
 			cluster.At(40, func() { cluster.SetRefusal("n2", "state", false) })
 			return submitBurst(cluster, 12, 6, 5, 5)
@@ -104,14 +104,14 @@
 		{"orders-held-up", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
 			cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, "/orders")
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10, nil))
-			cluster.Submit(12, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 6, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10))
+			cluster.Submit(12, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 6))
 			cluster.cutLinksFor(10, 27, cluster.machineLinks(machines[0]))
 			return []string{"wk-4", "wk-5"}
 		}, nil},
 		// A is refused until B has its part, B ends, A takes it back, all within seconds;
 		// then all end and one returns before the others.
-		{"there-and-back", func(cluster *Cluster, machines []*Machine) []string {
+		{"there-and-back", func(cluster *Cluster, _ []*Machine) []string {
 			a := cluster.controllerNames[1]
 			cluster.At(9, func() { cluster.SetRefusal(a, "state", true) })
 			cluster.At(14.6, func() { cluster.SetRefusal(a, "state", false) })
@@ -123,7 +123,7 @@
 					}
 				}
 			})
-			cluster.Submit(11, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10, nil))
+			cluster.Submit(11, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10))
 			cluster.crashFor(24, 24.3, "n2")
 			cluster.crashFor(24, 31, "n0", "n1")
 			return []string{"wk-4"}
@@ -144,7 +144,7 @@
 			cluster.cutLinksFor(11.5, 45, cluster.machineLinks(machines[0]))
 			cluster.partitionInboundFor(11.5, 45, machines[3])
 			return nil
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			// 14 s after the grant that may have answered it last, not before.
 			for _, task := range []string{"wk-1/0", "wk-1/1"} {
 				if n := strings.Count(cluster.TraceText(), "starts "+task+"\n"); n < 1 || n > 2 {
@@ -154,7 +154,7 @@
 		}},
 		// Users cancel and ask while the state service answers up to 1.8 s late, refuses
 		// the leader alone and then everybody.
-		{"slow-then-refused", func(cluster *Cluster, machines []*Machine) []string {
+		{"slow-then-refused", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(8, func() {
 				cluster.State.ResponseDelay = func(string) time.Duration {
 					return time.Duration(1.8 * cluster.random.Float64() * float64(time.Second))
@@ -171,10 +171,10 @@
 		}, nil},
 		// Half of the transactions get no answer and are carried out 2 to 12 s later: of
 		// acceptances, cancellations, ends, progress and owners that change.
-		{"late-writes", func(cluster *Cluster, machines []*Machine) []string {
+		{"late-writes", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.delayRequestsFor(7, 26, 0.5, 2, 12, "/multi")
-			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 5, 1, 4, nil))
-			cluster.Submit(11, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 4, nil))
+			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 5, 1, 4))
+			cluster.Submit(11, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 4))
 			cluster.At(14, func() { cluster.nonLeaderOwner().Crash() })
 			cluster.At(17, cluster.Start)
 			return []string{"wk-4", "wk-5"}
@@ -182,8 +182,8 @@
 		// The leader is cut from the state service and the others; workers and users
 		// still reach it. wk-3 and wk-4 are cancelled through the new one; asked, the old
 		// one tells nobody that they are pending or run.
-		{"leader-isolated", func(cluster *Cluster, machines []*Machine) []string {
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 60, nil))
+		{"leader-isolated", func(cluster *Cluster, _ []*Machine) []string {
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 60))
 			old := ""
 			cluster.At(11, func() {
 				old = cluster.leaderProcess().name
@@ -196,32 +196,30 @@
 						out := &protocol.JobState{}
 						cluster.request("user", cluster.apiAddress(old), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
 							if status == 200 && out.Status != protocol.JobCancelled && cluster.ReportedStatus(id) == protocol.JobCancelled {
-								cluster.reportViolation("went_back: the isolated one says %s is %s", id, out.Status)
+								cluster.reportViolation(RuleEndIsFinal, "the isolated one says %s is %s", id, out.Status)
 							}
 						})
 					}
 				})
 			}
 			return nil
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
 		}},
 		// Tasks that end 4, 16 and 28 s after their start, over two changes of leader, an
 		// array, a gang and single tasks of a rush.
-		{"ends-far-apart", func(cluster *Cluster, machines []*Machine) []string {
+		{"ends-far-apart", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.RuntimeSpread = map[string]float64{"apart": 3}
-			apart := func(submission *protocol.Submission) { submission.Class = stringPointer("apart") }
-			for _, name := range cluster.controllerNames {
-				cluster.Controllers[name].settings.Dispatch.Anywhere = 0
-			}
+			apart := ofClass("apart")
+			cluster.placeSingleTasksAnywhere()
 			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 3, 1, 4, apart))
 			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 2, 1, 8, apart))
-			cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeGang, 2, 1, 6, nil))
-			cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 14, nil))
+			cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeGang, 2, 1, 6))
+			cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 14))
 			cluster.restartQuickly(12, 0.4, cluster.leaderProcess)
 			cluster.restartQuickly(22, 6, cluster.leaderProcess)
 			return []string{"wk-4", "wk-5", "wk-6", "wk-7"}
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			for _, id := range []string{"wk-4", "wk-5", "wk-7"} {
 				if n, all := strings.Count(cluster.TraceText(), "starts "+id+"/"), cluster.jobs[id].Tasks; n != all {
 					t.Errorf("%d starts of %d tasks of %s: an end was lost", n, all, id)
@@ -233,8 +231,8 @@
 		// some of whose tasks are done.
 		{"old-reports", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.duplicateReportsFor(6, 45, 2, 7, 16, 25)
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 2, 2, 12, nil))
-			cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 8, 1, 9, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 2, 2, 12))
+			cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 8, 1, 9))
 			cluster.cutLinksFor(13, 29, cluster.machineLinks(machines[0]))
 			cluster.At(16, func() { cluster.nonLeaderOwner().Crash() })
 			cluster.At(26, cluster.Start)
@@ -244,13 +242,10 @@
 		// All orders arrive again, up to 12 s after they were carried out, while work of a
 		// lower rank is stopped for two gangs and begins elsewhere. Found by this day: a
 		// copy of a launch started a task again that had been stopped and reaped.
-		{"orders-repeated", func(cluster *Cluster, machines []*Machine) []string {
+		{"orders-repeated", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.duplicateOrdersFor(4, 40, 1, 0.2, 12)
-			low := func(submission *protocol.Submission) {
-				m, v := 4.0, 1.0
-				submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
-			}
-			high := func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }
+			low := bestEffort(4, 1)
+			high := withPriority("high")
 			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 20, low))
 			cluster.Submit(14, NewSubmission("wk-5", protocol.ShapeGang, 2, 4, 6, high))
 			cluster.Submit(20, NewSubmission("wk-6", protocol.ShapeGang, 3, 4, 6, high))
--- a/internal/simulator/ownership_change_test.go
+++ b/internal/simulator/ownership_change_test.go
@@ -15,7 +15,7 @@
 		cluster := NewCluster(40 + uint64(after))
 		cluster.ServeAPI()
 		addMachines(cluster, 12, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70))
 		cluster.At(12, func() {
 			heal := cluster.PartitionZone("b") // n1 is there
 			cluster.At(52, heal)
@@ -46,7 +46,7 @@
 				cluster.Controllers[name].settings.Deployment.SkewMs = 2500
 				cluster.Controllers[name].ClockOffset = []float64{off, 0, -off}[i]
 			}
-			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70, nil))
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 70))
 			cluster.At(12, func() { cluster.At(52, cluster.PartitionZone("b")) }) // n1 is there
 			cluster.crashFor(12+after, 60, "n0")
 			cluster.restartQuickly(13+after, 2.5, func() *ControllerProcess { return cluster.Controllers["n2"] })
--- a/internal/simulator/partition_scenarios_test.go
+++ b/internal/simulator/partition_scenarios_test.go
@@ -16,12 +16,12 @@
 			cluster.At(10, func() { cluster.SetInboundPartition(machines[0].Address(), true) })
 			cluster.At(110, func() { cluster.Trace("at 110 the deaf one is gone: %v", machines[0].deleted) })
 			return submitBurst(cluster, 14, 8, 6, 4)
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if !strings.Contains(cluster.TraceText(), "at 110 the deaf one is gone: true") {
 				t.Error("the deaf machine was not returned")
 			}
 		}},
-		{"deaf-from-its-first-report", func(cluster *Cluster, machines []*Machine) []string {
+		{"deaf-from-its-first-report", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(9, func() {
 				cluster.SetInboundPartition(cluster.address("w-i-007"), true)
 				cluster.AddMachine("small", "a", false)
@@ -31,7 +31,7 @@
 		{"deaf-for-a-moment", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.partitionInboundFor(12, 17, machines[0])
 			return submitBurst(cluster, 14, 4, 6, 4)
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if strings.Contains(cluster.TraceText(), "lease over, kills") {
 				t.Error("a machine lost its lease")
 			}
@@ -40,13 +40,13 @@
 			cluster.partitionInboundFor(12, 23, machines[0])
 			return submitBurst(cluster, 14, 4, 6, 4)
 		}, nil},
-		{"deaf-and-its-owner-lost", func(cluster *Cluster, machines []*Machine) []string {
+		{"deaf-and-its-owner-lost", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				machine := cluster.machinesWith("wk-1")[0]
 				cluster.SetInboundPartition(machine.Address(), true)
 				cluster.ownerOf(machine).Crash()
 			})
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12, nil)) // some of it waits, and may be there
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12)) // some of it waits, and may be there
 			return append(submitBurst(cluster, 14, 3, 4, 4), "wk-4")
 		}, nil},
 		// Before: wk-4 waited for 190 s. No answer under the new owner's token ever came,
@@ -62,15 +62,15 @@
 				}
 				process.Crash()
 			})
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 60, 1, 12))
 			cluster.At(150, func() { cluster.Trace("at 150 wk-4 is %s", cluster.ReportedStatus("wk-4")) })
 			return append(submitBurst(cluster, 14, 3, 4, 4), "wk-4")
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if !strings.Contains(cluster.TraceText(), "at 150 wk-4 is done") {
 				t.Error("wk-4 waited for deaf machines")
 			}
 		}},
-		{"deaf-with-a-cancelled-job", func(cluster *Cluster, machines []*Machine) []string {
+		{"deaf-with-a-cancelled-job", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				for _, machine := range cluster.machinesWith("wk-3") {
 					cluster.SetInboundPartition(machine.Address(), true)
@@ -79,7 +79,7 @@
 			return submitBurst(cluster, 14, 2, 4, 4)
 		}, nil},
 		{"deaf-with-half-a-gang", func(cluster *Cluster, machines []*Machine) []string {
-			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 4, 2, 8, nil))
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 4, 2, 8))
 			cluster.At(8.05, func() { cluster.SetInboundPartition(machines[1].Address(), true) })
 			return append(submitBurst(cluster, 14, 2, 4, 4), "wk-4")
 		}, nil},
@@ -89,12 +89,12 @@
 			}
 			return submitBurst(cluster, 14, 6, 6, 4)
 		}, nil},
-		{"copies-across-a-takeover", func(cluster *Cluster, machines []*Machine) []string {
+		{"copies-across-a-takeover", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.duplicateReportsFor(6, 30, 3, 9, 20)
 			cluster.At(12, func() { cluster.nonLeaderOwner().Crash() })
 			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"copies-across-a-restart", func(cluster *Cluster, machines []*Machine) []string {
+		{"copies-across-a-restart", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.duplicateReportsFor(6, 30, 4, 7, 16)
 			cluster.crashFor(12, 14.5, cluster.controllerNames...)
 			return submitBurst(cluster, 14, 3, 4, 4)
@@ -107,7 +107,7 @@
 				cluster.Trace("%d machines are known", cluster.leaderProcess().Controller.DebugState().Machines)
 			})
 			return submitBurst(cluster, 14, 3, 4, 4)
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if !strings.Contains(cluster.TraceText(), " 70.00 4 machines are known") {
 				t.Error("ghosts are known as machines")
 			}
@@ -120,19 +120,19 @@
 				cluster.Trace("machines that came back are there: %v", !machines[0].deleted && !machines[1].deleted)
 			})
 			return submitBurst(cluster, 14, 3, 6, 4)
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if !strings.Contains(cluster.TraceText(), "are there: true") {
 				t.Error("a machine that came back was given up")
 			}
 		}},
-		{"isolated-leader-and-a-frozen-one", func(cluster *Cluster, machines []*Machine) []string {
+		{"isolated-leader-and-a-frozen-one", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				cluster.At(40, cluster.IsolateController(cluster.leaderProcess().name))
 				cluster.nonLeaderOwner().Pause(9*time.Second, true)
 			})
 			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"isolated-owner-and-a-cancellation", func(cluster *Cluster, machines []*Machine) []string {
+		{"isolated-owner-and-a-cancellation", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				cluster.At(50, cluster.IsolateController(cluster.ownerOf(cluster.machinesWith("wk-3")[0]).name))
 			})
@@ -142,18 +142,18 @@
 				}
 			})
 			return submitBurst(cluster, 14, 3, 4, 4)
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if n := strings.Count(cluster.TraceText(), "is up for users: false"); n != 1 {
 				t.Errorf("%d controllers are not up for users, want the isolated one alone", n)
 			}
 		}},
-		{"isolated-again-and-again", func(cluster *Cluster, machines []*Machine) []string {
+		{"isolated-again-and-again", func(cluster *Cluster, _ []*Machine) []string {
 			for at := 12.0; at < 40; at += 6 {
 				cluster.At(at, func() { cluster.after(3*time.Second, cluster.IsolateController("n1")) })
 			}
 			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"back-at-once-in-an-election", func(cluster *Cluster, machines []*Machine) []string {
+		{"back-at-once-in-an-election", func(cluster *Cluster, _ []*Machine) []string {
 			lead := ""
 			cluster.At(12, func() { lead = cluster.leaderProcess().name; cluster.Controllers[lead].Crash() })
 			for k, name := range cluster.controllerNames { // those who would take its place end and are back, twice
@@ -164,7 +164,7 @@
 			cluster.At(18.5, func() { cluster.Controllers[lead].Start() })
 			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"all-back-at-once-while-copies-come", func(cluster *Cluster, machines []*Machine) []string {
+		{"all-back-at-once-while-copies-come", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.duplicateReportsFor(6, 30, 2, 8, 17)
 			for k, name := range cluster.controllerNames {
 				cluster.restartQuickly(12, 0.1+0.3*float64(k), func() *ControllerProcess { return cluster.Controllers[name] })
@@ -172,16 +172,14 @@
 			}
 			return submitBurst(cluster, 14, 3, 4, 4)
 		}, nil},
-		{"the-largest-among-many-small", func(cluster *Cluster, machines []*Machine) []string {
-			cluster.Submit(10, NewSubmission("wk-4", protocol.ShapeGang, 6, 4, 10, func(submission *protocol.Submission) { submission.Class = stringPointer("gangs") }))
+		{"the-largest-among-many-small", func(cluster *Cluster, _ []*Machine) []string {
+			cluster.Submit(10, NewSubmission("wk-4", protocol.ShapeGang, 6, 4, 10, ofClass("gangs")))
 			random := rand.New(rand.NewPCG(5, 5))
 			for k := range 150 {
-				cluster.Submit(8+float64(k)*1.7, NewSubmission(fmt.Sprintf("wk-%d", 100+k), protocol.ShapeArray, 1, 4, 6+4*random.Float64(), func(submission *protocol.Submission) {
-					submission.Class, submission.Priority = stringPointer("small"), stringPointer("high")
-				}))
+				cluster.Submit(8+float64(k)*1.7, NewSubmission(fmt.Sprintf("wk-%d", 100+k), protocol.ShapeArray, 1, 4, 6+4*random.Float64(), ofClass("small"), withPriority("high")))
 			}
 			return []string{"wk-4"}
-		}, func(t *testing.T, cluster *Cluster, machines []*Machine) {
+		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 			if n := strings.Count(cluster.TraceText(), "gang wk-4 runs"); n != 1 {
 				t.Errorf("the gang began %d times", n)
 			}
--- a/internal/simulator/placement_test.go
+++ b/internal/simulator/placement_test.go
@@ -10,15 +10,15 @@
 func TestFaultFreeOperation(t *testing.T) {
 	cluster := playTraced(t, "normal", 1, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 1)
-		cluster.Cloud.Capacity["small/a/true"] = 3
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 10, nil))
-		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeGang, 3, 3, 10, func(submission *protocol.Submission) { yes := true; submission.SingleZone = &yes }))
-		cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeService, 2, 1, 0, nil))
-		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 40, 1, 12, nil))
-		cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 1, 40, 12, nil)) // fits no machine
-		cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeArray, 8, 1, 6, func(submission *protocol.Submission) { submission.Team = stringPointer("blue") }))
-		cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 6, func(submission *protocol.Submission) { submission.Team = stringPointer("nobody") }))
-		cluster.Submit(10, NewSubmission("wk-8", protocol.ShapeArray, 5, 1, 8, func(submission *protocol.Submission) { yes := true; submission.SpreadZones = &yes }))
+		cluster.Cloud.Capacity[Offer{"small", "a", true}] = 3
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 10))
+		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeGang, 3, 3, 10, inSingleZone))
+		cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeService, 2, 1, 0))
+		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 40, 1, 12))
+		cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 1, 40, 12)) // fits no machine
+		cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeArray, 8, 1, 6, ofTeam("blue")))
+		cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 6, ofTeam("nobody")))
+		cluster.Submit(10, NewSubmission("wk-8", protocol.ShapeArray, 5, 1, 8, spreadOverZones))
 		cluster.TraceRequest(15, "GET", "/v2/runs/wk-404", nil)
 		cluster.TraceRequest(16, "POST", "/v2/runs", map[string]any{"id": "wk-9", "cores": "x"})
 		cluster.TraceRequest(90, "POST", "/v2/runs", map[string]any{"id": "wk-1", "cores": "x"}) // a repeat is 200 whatever it holds
@@ -43,11 +43,8 @@
 func TestPreemption(t *testing.T) {
 	cluster := playTraced(t, "preemption", 11, 120, func(cluster *Cluster) {
 		addMachines(cluster, 3, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 60, func(submission *protocol.Submission) {
-			m, v := 5.0, 1.0
-			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
-		}))
-		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeGang, 1, 4, 10, func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 60, bestEffort(5, 1)))
+		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeGang, 1, 4, 10, withPriority("high")))
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-2")
 }
@@ -59,11 +56,8 @@
 func TestPreemptionForArrayDeadline(t *testing.T) {
 	cluster := playTraced(t, "room-for-an-array", 18, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 300, func(submission *protocol.Submission) {
-			m, v := 10.0, 1.0
-			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
-		}))
-		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 36, 1, 12, func(submission *protocol.Submission) { due := 60.0; submission.Deadline = &due }))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 300, bestEffort(10, 1)))
+		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 36, 1, 12, withDeadline(60)))
 	})
 	if at := cluster.endReportedAt["wk-2"].Seconds(); at == 0 || at > 20+60+3 {
 		t.Errorf("the array's user was told its end at %.1f s, want by 80 s and a poll", at)
@@ -79,10 +73,9 @@
 	cluster := playTraced(t, "guarantee", 17, 120, func(cluster *Cluster) {
 		cluster.AddMachine("big", "a", false)
 		green := func(submission *protocol.Submission) {
-			four := 2.0
-			submission.Team, submission.GPUs = stringPointer("green"), &four
+			submission.Team, submission.GPUs = new("green"), new(2.0)
 		}
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 60, func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 60, withPriority("high")))
 		cluster.Submit(15, NewSubmission("wk-2", protocol.ShapeArray, 2, 2, 10, green))
 		cluster.Submit(16, NewSubmission("wk-3", protocol.ShapeArray, 2, 2, 10, green))
 		cluster.Submit(17, NewSubmission("wk-4", protocol.ShapeGang, 3, 2, 10, green)) // six GPUs: more than the limit
--- a/internal/simulator/random_combined_faults_test.go
+++ b/internal/simulator/random_combined_faults_test.go
@@ -22,9 +22,9 @@
 	{"answers of transactions lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayRequestsFor(at, at+2*length, 0.3+0.5*random.Float64(), 0.001, 0.003, "/multi")
 	}},
-	{"every team at its limit, cancellations, machines not to be had, the leader ends", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"every team at its limit, cancellations, machines not to be had, the leader ends", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		for i, team := range []string{"blue", "green"} {
-			of := func(submission *protocol.Submission) { submission.Team = stringPointer(team) }
+			of := ofTeam(team)
 			cluster.Submit(at-4+float64(i)/2, NewSubmission("wk-l"+team, protocol.ShapeArray, 3, 1, 60, of))
 			cluster.Submit(at-3+float64(i)/2, NewSubmission("wk-n"+team, protocol.ShapeArray, 2+random.IntN(5), 1, 3+6*random.Float64(), of))
 			cluster.Cancel(at+random.Float64(), "wk-l"+team)
@@ -47,7 +47,7 @@
 		cluster.DropCancellationNotices = random.IntN(2) == 0
 		for i := range 12 {
 			id := fmt.Sprintf("wk-h%d", i)
-			cluster.Submit(at-5+9*random.Float64(), NewSubmission(id, protocol.ShapeArray, 1+random.IntN(2), 0.5, 30, nil))
+			cluster.Submit(at-5+9*random.Float64(), NewSubmission(id, protocol.ShapeArray, 1+random.IntN(2), 0.5, 30))
 			cluster.Cancel(at-1+2*length*random.Float64(), id)
 		}
 	}},
@@ -85,7 +85,7 @@
 	{"single tasks, a quarter cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		for i := range int(8 * length) {
 			id, t := fmt.Sprintf("wk-q%d", i), at+float64(i)/4
-			cluster.Submit(t, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+4*random.Float64(), nil))
+			cluster.Submit(t, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+4*random.Float64()))
 			if random.IntN(4) == 0 {
 				cluster.Cancel(t+6*random.Float64()*random.Float64(), id)
 			}
@@ -102,7 +102,7 @@
 			for _, machine := range machines {
 				for _, o := range cluster.controllerNames {
 					if o != name && random.IntN(5) == 0 {
-						cluster.cutLinksFor(at-0.5, at+length, [][2]string{{machine.Address(), o}, {machine.Address(), cluster.apiAddress(o)}})
+						cluster.cutLinksFor(at-0.5, at+length, []link{{machine.Address(), o}, {machine.Address(), cluster.apiAddress(o)}})
 					}
 				}
 			}
@@ -134,7 +134,7 @@
 					return
 				}
 				for range 3 {
-					what := []string{"ask", "submit", "cancel"}[random.IntN(3)]
+					what := []userAction{pollAgain, submitAgain, cancelAgain}[random.IntN(3)]
 					cluster.after(time.Duration(0.4*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, cluster.submissions[id]) })
 				}
 			}
@@ -156,7 +156,7 @@
 			cluster.monitorWaitingJobs()
 			machines := addMachines(cluster, 8, 0)
 			for k := range 6 {
-				cluster.Submit(4+float64(k), NewSubmission(fmt.Sprintf("wk-%d", k+1), protocol.ShapeArray, 2+k, 1, 5+3*float64(k), nil))
+				cluster.Submit(4+float64(k), NewSubmission(fmt.Sprintf("wk-%d", k+1), protocol.ShapeArray, 2+k, 1, 5+3*float64(k)))
 			}
 			c.do(cluster, random, machines, 13, 6)
 			cluster.Start()
--- a/internal/simulator/random_days_test.go
+++ b/internal/simulator/random_days_test.go
@@ -7,8 +7,8 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -34,108 +34,173 @@
 // vouchedOutageDays: and on these the controllers vouch for each other in an outage.
 const vouchedOutageDays = 400000
 
-// play plays a random day of two to five troubles that overlap and end by 80 s,
-// and gives what went wrong.
+// play plays a random day of two to five faults that overlap and end by 80 s, and
+// returns what went wrong.
 func play(seed int) (cluster *Cluster, script, wrong []string) { return playObserved(seed, nil) }
 
-// playObserved plays a random day and tells observe, if any, of each message on its network.
+// playObserved plays a random day and calls observe, if any, with each message on its
+// network.
 func playObserved(seed int, observe func(Traffic)) (cluster *Cluster, script, wrong []string) {
+	day := newRandomDay(seed)
+	day.cluster.OnTraffic = observe
+	day.submitJobs()
+	day.submitRush()
+	if seed >= pipelineDays {
+		day.cluster.submitRandomPipelines(day.random)
+	}
+	day.at = 8 + 20*day.random.Float64()
+	day.injectVouchedOutage()
+	day.injectCombinedFaults()
+	day.injectSingleFaults()
+	day.cluster.monitorWaitingJobs()
+	day.cluster.Start()
+	day.cluster.Run(400)
+	return day.cluster, day.script, day.cluster.checkDay(seed >= delayedMessageDays)
+}
+
+// randomDay is a random day in the making. The order of its random draws is part of the
+// meaning of a seed.
+type randomDay struct {
+	seed     int
+	random   *rand.Rand
+	cluster  *Cluster
+	machines []*Machine
+	script   []string // what happens, to be read
+	at       float64  // when the next fault begins, in seconds
+}
+
+// newRandomDay makes a cluster with machines, and some that can be rented.
+func newRandomDay(seed int) *randomDay {
 	random := rand.New(rand.NewPCG(uint64(seed), 7))
-	cluster = NewCluster(uint64(seed))
-	cluster.OnTraffic = observe
+	cluster := NewCluster(uint64(seed))
 	cluster.ServeAPI()
-	singles := seed%2 == 1 // every second day has a rush of single tasks, on record as being anywhere
-	if singles {
-		for _, name := range cluster.controllerNames {
-			cluster.Controllers[name].settings.Dispatch.Anywhere = 0
-		}
+	day := &randomDay{seed: seed, random: random, cluster: cluster}
+	if day.hasRush() {
+		cluster.placeSingleTasksAnywhere()
 	}
 	if seed%4 >= 2 {
 		cluster.useLongLeases()
 	}
-	machines := addMachines(cluster, 4+random.IntN(5), random.IntN(3))
+	day.machines = addMachines(cluster, 4+random.IntN(5), random.IntN(3))
 	for range random.IntN(4) {
-		machines = append(machines, cluster.AddMachine("small", []string{"a", "b"}[random.IntN(2)], true))
+		day.machines = append(day.machines, cluster.AddMachine("small", zoneNames[random.IntN(2)], true))
 	}
-	for _, zone := range []string{"a", "b"} {
-		cluster.Cloud.Capacity["small/"+zone+"/false"] = 4
-		cluster.Cloud.Capacity["small/"+zone+"/true"] = random.IntN(3)
+	for _, zone := range zoneNames {
+		cluster.Cloud.Capacity[Offer{"small", zone, false}] = 4
+		cluster.Cloud.Capacity[Offer{"small", zone, true}] = random.IntN(3)
 	}
+	return day
+}
+
+// hasRush: every second day has a rush of single tasks, on record as being anywhere.
+func (d *randomDay) hasRush() bool { return d.seed%2 == 1 }
+
+// submitJobs submits arrays and gangs, and cancels some.
+func (d *randomDay) submitJobs() {
+	random := d.random
 	for i := range 5 + random.IntN(5) {
 		id := fmt.Sprintf("wk-%d", i+1)
 		shape, tasks, cores := protocol.ShapeArray, 1+random.IntN(16), float64(1+random.IntN(2))
 		if random.IntN(3) == 0 {
 			shape, tasks, cores = protocol.ShapeGang, 2+random.IntN(2), float64(2+random.IntN(3))
 		}
-		if singles && shape == protocol.ShapeArray && i > 0 {
+		if d.hasRush() && shape == protocol.ShapeArray && i > 0 {
 			tasks = 1
 		}
-		together, apart, mark := random.IntN(3) == 0, random.IntN(4) == 0, 4*float64(random.IntN(2))
+		singleZone, spread, checkpointInterval := random.IntN(3) == 0, random.IntN(4) == 0, 4*float64(random.IntN(2))
 		at := 4 + 40*random.Float64()
-		cluster.Submit(at, NewSubmission(id, shape, tasks, cores, 4+16*random.Float64(), func(submission *protocol.Submission) {
-			save := mark / 4
-			apart := apart && !together
-			submission.SingleZone, submission.SpreadZones, submission.CheckpointInterval, submission.CheckpointDuration = &together, &apart, &mark, &save
-		}))
+		placement := func(submission *protocol.Submission) {
+			submission.SingleZone = &singleZone
+			submission.SpreadZones = new(spread && !singleZone)
+		}
+		d.cluster.Submit(at, NewSubmission(id, shape, tasks, cores, 4+16*random.Float64(), placement, withCheckpoints(checkpointInterval, checkpointInterval/4)))
 		if random.IntN(5) == 0 {
-			cluster.Cancel(at+20*random.Float64(), id)
+			d.cluster.Cancel(at+20*random.Float64(), id)
 		}
 	}
+}
+
+// submitRush submits single tasks, on days with a rush; the draws are made on all days.
+func (d *randomDay) submitRush() {
 	for i := range 20 {
-		if at, takes := 6+30*random.Float64(), 3+12*random.Float64(); singles {
-			cluster.Submit(at, NewSubmission(fmt.Sprintf("wk-s%d", i), protocol.ShapeArray, 1, 1, takes, nil))
+		at, estimate := 6+30*d.random.Float64(), 3+12*d.random.Float64()
+		if d.hasRush() {
+			d.cluster.Submit(at, NewSubmission(fmt.Sprintf("wk-s%d", i), protocol.ShapeArray, 1, 1, estimate))
 		}
 	}
-	if seed >= pipelineDays {
-		cluster.submitRandomPipelines(random)
+}
+
+// injectVouchedOutage injects the outage of days on which the controllers vouch for each
+// other.
+func (d *randomDay) injectVouchedOutage() {
+	if d.seed < vouchedOutageDays || d.seed >= combinedDays {
+		return
 	}
-	at, burst := 8+20*random.Float64(), false
-	if seed >= vouchedOutageDays && seed < combinedDays {
-		cluster.enableVouching()
-		script = append(script, cluster.randomVouchedOutage(random, machines, at+10*random.Float64()))
+	d.cluster.enableVouching()
+	d.script = append(d.script, d.cluster.randomVouchedOutage(d.random, d.machines, d.at+10*d.random.Float64()))
+}
+
+// combinedFaultPool is what the combined faults of a day are drawn from: newer kinds of
+// days draw half or two thirds of them from the newer lists.
+func (d *randomDay) combinedFaultPool() []fault {
+	pool := delayedMessages
+	if d.seed >= unreachableDays {
+		pool = slices.Concat(unreachableMachines, delayedMessages)
 	}
-	if seed >= delayedMessageDays { // seldom from the first second: something is to be lost
-		seen, pool := map[string]bool{}, delayedMessages
-		if seed >= unreachableDays {
-			pool = slices.Concat(unreachableMachines, delayedMessages)
-		}
-		if seed >= staleAnswerDays { // half of what meets is of these
-			pool = slices.Concat(staleAnswers, staleAnswers, staleAnswers, staleAnswers, pool)
-		}
-		if seed >= combinedDays { // two of three
-			pool = slices.Concat(slices.Repeat(combinedFaults, 10), pool)
-		}
-		for range 2 + random.IntN(2) {
-			m, length := pool[random.IntN(len(pool))], 2+12*random.Float64()
-			if seen[m.name] {
-				continue
-			}
-			seen[m.name] = true
-			script = append(script, fmt.Sprintf("%.1f %s (%.1f)", at, m.name, length))
-			m.do(cluster, random, machines, at, length)
-			cluster.histories.FaultsOver = max(cluster.histories.FaultsOver, time.Duration((at+4*length+1.5*cluster.Settings.Deployment.Workers.Cancel+4)*float64(time.Second)))
-			at += 10 * random.Float64()
+	if d.seed >= staleAnswerDays {
+		pool = slices.Concat(staleAnswers, staleAnswers, staleAnswers, staleAnswers, pool)
+	}
+	if d.seed >= combinedDays {
+		pool = slices.Concat(slices.Repeat(combinedFaults, 10), pool)
+	}
+	return pool
+}
+
+// injectCombinedFaults injects two or three combined faults, seldom from the first second
+// on: something is to be lost.
+func (d *randomDay) injectCombinedFaults() {
+	if d.seed < delayedMessageDays {
+		return
+	}
+	seen, pool := map[string]bool{}, d.combinedFaultPool()
+	for range 2 + d.random.IntN(2) {
+		combined, length := pool[d.random.IntN(len(pool))], 2+12*d.random.Float64()
+		if seen[combined.name] {
+			continue
 		}
+		seen[combined.name] = true
+		cancelBound := d.cluster.Settings.Deployment.Workers.Cancel
+		d.inject(combined, length, d.at+4*length+1.5*cancelBound+4)
+		d.at += 10 * d.random.Float64()
 	}
-	more := 2 + random.IntN(4)
-	if seed >= delayedMessageDays {
-		more /= 3
+}
+
+// injectSingleFaults injects two to five single faults, fewer beside combined ones.
+func (d *randomDay) injectSingleFaults() {
+	count := 2 + d.random.IntN(4)
+	if d.seed >= delayedMessageDays {
+		count /= 3
 	}
-	for range more {
-		t, length := singleFaults[random.IntN(len(singleFaults))], 2+14*random.Float64()
-		if t.name == "a burst" && burst {
-			continue // its jobs have the same names
+	hasBurst := false
+	for range count {
+		single, length := singleFaults[d.random.IntN(len(singleFaults))], 2+14*d.random.Float64()
+		if single.name == burstFault {
+			if hasBurst {
+				continue // its jobs have the same names
+			}
+			hasBurst = true
 		}
-		burst = burst || t.name == "a burst"
-		script = append(script, fmt.Sprintf("%.1f %s (%.1f)", at, t.name, length))
-		t.do(cluster, random, machines, at, length)
-		cluster.histories.FaultsOver = max(cluster.histories.FaultsOver, time.Duration((at+3*length+4)*float64(time.Second)))
-		at += 8 * random.Float64()
-	}
-	cluster.monitorWaitingJobs()
-	cluster.Start()
-	cluster.Run(400)
-	return cluster, script, cluster.checkDay(seed >= delayedMessageDays)
+		d.inject(single, length, d.at+3*length+4)
+		d.at += 8 * d.random.Float64()
+	}
+}
+
+// inject injects a fault of a length that is over, with what follows from it, at a time;
+// both in seconds.
+func (d *randomDay) inject(injected fault, length, over float64) {
+	d.script = append(d.script, fmt.Sprintf("%.1f %s (%.1f)", d.at, injected.name, length))
+	injected.do(d.cluster, d.random, d.machines, d.at, length)
+	d.cluster.histories.FaultsOver = max(d.cluster.histories.FaultsOver, env.Seconds(over))
 }
 
 func randomDays(t *testing.T, first int) {
--- a/internal/simulator/random_delayed_message_faults_test.go
+++ b/internal/simulator/random_delayed_message_faults_test.go
@@ -8,11 +8,6 @@
 	"curlewspool/internal/protocol"
 )
 
-type fault struct {
-	name string
-	do   func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64)
-}
-
 // delayedMessages are what the users saw rules break by, where two troubles meet. Each is a
 // pair of them by itself; random days have two or three beside another trouble.
 var delayedMessages = []fault{
@@ -25,7 +20,7 @@
 	{"answers to reports are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 6, "/v1/report")
 	}},
-	{"orders are repeated", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"orders are repeated", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.duplicateOrdersFor(at, at+2*length, 0.5, 0.2, 15)
 	}},
 	{"writes are late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
@@ -92,7 +87,7 @@
 			cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
 		}
 	}},
-	{"the leader is cut off with its workers, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"the leader is cut off with its workers, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
 			cluster.after(time.Duration(3*length*float64(time.Second)), cluster.IsolateController(cluster.leaderProcess().name))
 		})
@@ -100,11 +95,11 @@
 			cluster.Cancel(at+3*length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
 		}
 	}},
-	{"jobs of two or three tasks, and controllers that end", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"jobs of two or three tasks, and controllers that end", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.RuntimeSpread = map[string]float64{"apart": 1 + 2*random.Float64()}
 		for i := range 4 {
 			cluster.Submit(at-2+float64(i), NewSubmission(fmt.Sprintf("wk-t%d", i+1), protocol.ShapeArray, 2+random.IntN(2), 1, 2+6*random.Float64(),
-				func(submission *protocol.Submission) { submission.Class = stringPointer("apart") }))
+				ofClass("apart")))
 		}
 		for range 2 + random.IntN(3) {
 			cluster.restartQuickly(at+2*length*random.Float64(), cluster.randomMoment(random).Seconds(), func() *ControllerProcess { return cluster.Controllers[cluster.controllerNames[random.IntN(3)]] })
--- a/internal/simulator/random_single_faults_test.go
+++ b/internal/simulator/random_single_faults_test.go
@@ -6,11 +6,17 @@
 	"time"
 )
 
-// singleFaults begin at a time and are over by themselves; each says what it does.
-var singleFaults = []struct {
-	name string
+// fault is something that begins at a time and is over by itself; times in seconds.
+type fault struct {
+	name string // says what it does
 	do   func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64)
-}{
+}
+
+// burstFault is the name of the fault that a day may have once only.
+const burstFault = "a burst"
+
+// singleFaults are the faults that random days of all kinds have.
+var singleFaults = []fault{
 	{"a controller crashes", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.crashFor(at, at+3+length/4, cluster.controllerNames[random.IntN(3)])
 	}},
@@ -41,19 +47,19 @@
 		cluster.At(at+2*length, func() { cluster.SetRefusal(name, "state", false) })
 	}},
 	{"a controller loses the state service", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.cutLinksFor(at, at+2*length, [][2]string{{cluster.controllerNames[random.IntN(3)], "state"}})
+		cluster.cutLinksFor(at, at+2*length, []link{{cluster.controllerNames[random.IntN(3)], "state"}})
 	}},
 	{"a controller loses its workers", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		name := cluster.controllerNames[random.IntN(3)]
-		var pairs [][2]string
+		var pairs []link
 		for _, machine := range machines {
-			pairs = append(pairs, [2]string{machine.Address(), name}, [2]string{machine.Address(), cluster.apiAddress(name)})
+			pairs = append(pairs, link{machine.Address(), name}, link{machine.Address(), cluster.apiAddress(name)})
 		}
 		cluster.cutLinksFor(at, at+2*length, pairs)
 	}},
 	{"controllers refuse each other", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		i := random.IntN(3)
-		cluster.cutLinksFor(at, at+2*length, [][2]string{{cluster.controllerNames[i], cluster.controllerNames[(i+1)%3]}})
+		cluster.cutLinksFor(at, at+2*length, []link{{cluster.controllerNames[i], cluster.controllerNames[(i+1)%3]}})
 	}},
 	{"a zone is cut off", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		zone := []string{"a", "b"}[random.IntN(2)]
@@ -143,7 +149,7 @@
 			}
 		}
 	}},
-	{"a burst", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, _ float64) {
+	{burstFault, func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, _ float64) {
 		submitBurst(cluster, at, 3+random.IntN(5), 1+random.IntN(6), 3+5*random.Float64())
 	}},
 }
--- a/internal/simulator/random_stale_answer_faults_test.go
+++ b/internal/simulator/random_stale_answer_faults_test.go
@@ -23,14 +23,14 @@
 				if job == nil || cluster.reportedStatus[id] == "" {
 					return // a repetition holds what the first one did
 				}
-				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate, nil)
-				for k, what := range []string{[]string{"cancel", "submit", "ask"}[random.IntN(3)], "ask", "submit", "ask"} {
+				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate)
+				for k, what := range []userAction{[]userAction{cancelAgain, submitAgain, pollAgain}[random.IntN(3)], pollAgain, submitAgain, pollAgain} {
 					cluster.after(time.Duration(float64(k)*0.3*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
 				}
 			})
 		}
 	}},
-	{"jobs are called off as they move", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"jobs are called off as they move", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, _ float64) {
 		cluster.DropCancellationNotices = random.IntN(2) == 0
 		submitArrays(cluster, "wk-m", at-2, 4+random.IntN(4), 2+random.IntN(3), 3+12*random.Float64())
 		cluster.onChunkMove(at-2, func(id string) {
--- a/internal/simulator/random_unreachable_machine_faults_test.go
+++ b/internal/simulator/random_unreachable_machine_faults_test.go
@@ -10,7 +10,7 @@
 
 // unreachableMachines are the same for random days; see delayedMessages.
 var unreachableMachines = []fault{
-	{"called off as the leader is refused, then down for all", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"called off as the leader is refused, then down for all", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.DropCancellationNotices = random.IntN(2) == 0
 		cluster.At(at, func() { // with half of the machines of each hung for a while, within its lease
 			for i := range 3 {
@@ -40,7 +40,7 @@
 		cluster.partitionOutbound(at, at+(1+2*random.Float64())*length, some...)
 	}},
 	{"a team at its limit, owners that end, machines out of reach, a cancellation", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
-		blue := func(submission *protocol.Submission) { submission.Team = stringPointer("blue") }
+		blue := ofTeam("blue")
 		for i := range 3 {
 			cluster.Submit(at-3+float64(i), NewSubmission(fmt.Sprintf("wk-l%d", i), protocol.ShapeArray, 2+random.IntN(4), 1, 4+30*random.Float64(), blue))
 		}
@@ -52,7 +52,7 @@
 		}
 		cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-l%d", random.IntN(3)))
 	}},
-	{"a zone is cut off with a controller, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"a zone is cut off with a controller, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() { cluster.At(at+4*length, cluster.PartitionZone([]string{"a", "b"}[random.IntN(2)])) })
 		for i := range 3 {
 			cluster.Cancel(at+3*length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
@@ -68,10 +68,9 @@
 		cluster.cutLinksFor(at, at+4*length, cluster.machineLinks(machines[random.IntN(len(machines))]))
 	}},
 	{"jobs of one zone lose machines", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
-		yes := true
 		for i := range 4 {
 			shape := []protocol.JobShape{protocol.ShapeArray, protocol.ShapeGang}[random.IntN(2)]
-			cluster.Submit(at-3+float64(i)/2, NewSubmission(fmt.Sprintf("wk-z%d", i), shape, 2+random.IntN(2), float64(1+random.IntN(2)), 4+14*random.Float64(), func(submission *protocol.Submission) { submission.SingleZone = &yes }))
+			cluster.Submit(at-3+float64(i)/2, NewSubmission(fmt.Sprintf("wk-z%d", i), shape, 2+random.IntN(2), float64(1+random.IntN(2)), 4+14*random.Float64(), inSingleZone))
 		}
 		cluster.At(at, machines[random.IntN(len(machines))].Die)
 		machine := machines[random.IntN(len(machines))]
@@ -79,39 +78,36 @@
 		cluster.At(at+1+2*length, func() { machine.Hung = false })
 		cluster.cutLinksFor(at+2*random.Float64(), at+3*length, cluster.machineLinks(machines[random.IntN(len(machines))]))
 	}},
-	{"all controllers are away for longer than a lease", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"all controllers are away for longer than a lease", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, _ float64) {
 		lease := cluster.Settings.Deployment.Workers.Lease
 		for _, name := range cluster.controllerNames {
 			cluster.crashFor(at, at+lease*(1+random.Float64()), name)
 		}
 	}},
-	{"slow links, and more work than room", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"slow links, and more work than room", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.addLinkLatency(at-4, at+2*length, 2*random.Float64())
-		m, v := 4.0, 1.0
-		cluster.Submit(at-3, NewSubmission("wk-u1", protocol.ShapeArray, 20, 1, 10, func(submission *protocol.Submission) {
-			submission.CheckpointInterval, submission.CheckpointDuration, submission.Priority = &m, &v, stringPointer("best_effort")
-		}))
-		cluster.Submit(at, NewSubmission("wk-u2", protocol.ShapeGang, 2, 3, 5, func(submission *protocol.Submission) { submission.Priority = stringPointer("high") }))
-		cluster.Submit(at+1, NewSubmission("wk-u3", protocol.ShapeArray, 6, 2, 5, func(submission *protocol.Submission) { submission.Priority = stringPointer("prod") }))
+		cluster.Submit(at-3, NewSubmission("wk-u1", protocol.ShapeArray, 20, 1, 10, bestEffort(4, 1)))
+		cluster.Submit(at, NewSubmission("wk-u2", protocol.ShapeGang, 2, 3, 5, withPriority("high")))
+		cluster.Submit(at+1, NewSubmission("wk-u3", protocol.ShapeArray, 6, 2, 5, withPriority("prod")))
 	}},
-	{"jobs are cancelled, asked about and submitted again as they end", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"jobs are cancelled, asked about and submitted again as they end", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
 			cluster.OnJobCompleted = func(id string) {
 				if random.IntN(2) == 0 || cluster.jobs[id].Class != "class" || cluster.jobs[id].Priority != 1 {
 					return
 				}
 				job := cluster.jobs[id]
-				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate, nil)
+				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate)
 				for range 4 {
-					what := []string{"ask", "submit", "cancel"}[random.IntN(3)]
+					what := []userAction{pollAgain, submitAgain, cancelAgain}[random.IntN(3)]
 					cluster.after(time.Duration(0.6*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
 				}
 			}
 		})
 		cluster.At(at+4*length, func() { cluster.OnJobCompleted = nil })
 	}},
-	{"users send odd requests", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
-		submission := NewSubmission("wk-o1", protocol.ShapeArray, 1+random.IntN(3), 1, 4+6*random.Float64(), nil)
+	{"users send odd requests", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		submission := NewSubmission("wk-o1", protocol.ShapeArray, 1+random.IntN(3), 1, 4+6*random.Float64())
 		cluster.Submit(at-2, submission)
 		cluster.sendInvalidRequests(at, at+2*length, submission)
 	}},
--- a/internal/simulator/rate_limit.go
+++ b/internal/simulator/rate_limit.go
@@ -1,31 +1,30 @@
 package simulator
 
-import (
-	"time"
-)
+import "time"
 
-// rateLimit is a limit a second that allows bursts.
+// rateLimit is a token bucket: a limit a second that allows bursts.
 type rateLimit struct {
 	perSecond, burst float64
 	tokens           float64
 	refilledAt       time.Duration
-	Used             int
-	Refused          int
+	Used             int // tokens that were taken
+	Refused          int // requests that found too few
 }
 
-func newRateLimit(rate, burst float64) rateLimit {
-	return rateLimit{perSecond: rate, burst: burst, tokens: burst}
+// newRateLimit returns a limit whose bucket is full.
+func newRateLimit(perSecond, burst float64) rateLimit {
+	return rateLimit{perSecond: perSecond, burst: burst, tokens: burst}
 }
 
-// take uses n of the budget; false if it has less.
-func (b *rateLimit) take(now time.Duration, n int) bool {
-	b.tokens = min(b.burst, b.tokens+b.perSecond*(now-b.refilledAt).Seconds())
-	b.refilledAt = now
-	if b.tokens < float64(n) {
-		b.Refused++
+// take takes n tokens at a moment; false, and none, if there are fewer.
+func (l *rateLimit) take(now time.Duration, n int) bool {
+	l.tokens = min(l.burst, l.tokens+l.perSecond*(now-l.refilledAt).Seconds())
+	l.refilledAt = now
+	if l.tokens < float64(n) {
+		l.Refused++
 		return false
 	}
-	b.tokens -= float64(n)
-	b.Used += n
+	l.tokens -= float64(n)
+	l.Used += n
 	return true
 }
--- a/internal/simulator/refusal_then_outage_test.go
+++ b/internal/simulator/refusal_then_outage_test.go
@@ -55,16 +55,16 @@
 	at := []float64{-0.1, 0.1, 0.3, 0.6, 0.9, 1.2}
 	for i, x := range at {
 		id := fmt.Sprintf("wk-%d", i+1)
-		cluster.Submit(4+float64(i)/4, NewSubmission(id, protocol.ShapeArray, 6, 1, 300, nil))
+		cluster.Submit(4+float64(i)/4, NewSubmission(id, protocol.ShapeArray, 6, 1, 300))
 		cluster.Cancel(refusedAt+x*g.length, id)
 	}
-	cluster.Submit(refusedAt-0.4, NewSubmission("wk-9", protocol.ShapeArray, 8, 0.5, 300, nil)) // on its way when it is cancelled
+	cluster.Submit(refusedAt-0.4, NewSubmission("wk-9", protocol.ShapeArray, 8, 0.5, 300)) // on its way when it is cancelled
 	cluster.Cancel(refusedAt+0.2, "wk-9")
 	cluster.inject(g, machines, refusedAt, lasts)
 	end := refusedAt + g.length + lasts
 	if g.twice {
-		cluster.Submit(end+5, NewSubmission("wk-7", protocol.ShapeArray, 18, 1, 300, nil))
-		cluster.Submit(end+5, NewSubmission("wk-8", protocol.ShapeArray, 18, 1, 300, nil))
+		cluster.Submit(end+5, NewSubmission("wk-7", protocol.ShapeArray, 18, 1, 300))
+		cluster.Submit(end+5, NewSubmission("wk-8", protocol.ShapeArray, 18, 1, 300))
 		cluster.Cancel(end+20.2, "wk-7")
 		cluster.Cancel(end+21, "wk-8")
 		cluster.inject(g, machines, end+20, lasts)
--- a/internal/simulator/service_levels_test.go
+++ b/internal/simulator/service_levels_test.go
@@ -48,7 +48,7 @@
 				*answered = end - 80*time.Second
 			}
 		}, "forgotten: a"},
-		"unanswered in the troubles only": {func(id string, _, answered *time.Duration, _ *bool) {}, ""},
+		"unanswered in the troubles only": {func(_ string, _, _ *time.Duration, _ *bool) {}, ""},
 		"a small one begins late":         {func(id string, b, _ *time.Duration, _ *bool) { delayStart(id == "a", b) }, ""},
 		"a largest begins late":           {func(id string, b, _ *time.Duration, _ *bool) { delayStart(id == "c", b) }, "begins late: c"},
 		"the only job of a team":          {func(id string, _, _ *time.Duration, d *bool) { *d = id != "e" }, "not served: team blue, 0 of 1"},
@@ -77,7 +77,7 @@
 	addMachines(cluster, 3, 0)
 	cluster.histories.FaultsOver = 14 * time.Second
 	cluster.monitorWaitingJobs()
-	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 30, 1, 10, nil))
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 30, 1, 10))
 	cluster.crashFor(12, 130, cluster.controllerNames...)
 	cluster.Start()
 	cluster.Run(200)
--- a/internal/simulator/single_task_rush_test.go
+++ b/internal/simulator/single_task_rush_test.go
@@ -57,7 +57,7 @@
 			addMachines(cluster, 10, 0)
 			for i := range 480 {
 				id, at := fmt.Sprintf("wk-%d", i), 8+float64(i)/4
-				cluster.Submit(at, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+6*random.Float64(), nil))
+				cluster.Submit(at, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+6*random.Float64()))
 				if random.IntN(4) == 0 {
 					cluster.Cancel(at+9*random.Float64()*random.Float64(), id)
 				}
--- a/internal/simulator/state_leases.go
+++ b/internal/simulator/state_leases.go
@@ -1,28 +1,64 @@
 package simulator
 
 import (
+	"net/http"
+	"strconv"
+	"strings"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
+// minLeaseMillis is the shortest lease that is granted.
+const minLeaseMillis = 100
+
+// lease is a lease of the state service: entries under it are deleted when it expires.
 type lease struct {
 	duration time.Duration
-	renewals int
+	renewals int // expiries that were scheduled before the last renewal are void
 }
 
-func (s *StateService) renewLease(id uint64) {
-	g := s.leases[id]
-	g.renewals++
-	n := g.renewals
-	s.cluster.after(g.duration, func() { s.expireLease(id, g, n) })
+// emptyResponse is the body of an answer that says nothing.
+type emptyResponse struct{}
+
+func (s *StateService) grantLease(body []byte, reply replyFunc) {
+	var request protocol.LeaseRequest
+	if protocol.Decode(body, &request) != nil || request.TTLMillis < minLeaseMillis {
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	s.lastLeaseID++
+	s.leases[s.lastLeaseID] = &lease{duration: time.Duration(request.TTLMillis) * time.Millisecond}
+	s.renewLease(s.lastLeaseID)
+	reply(http.StatusOK, &protocol.LeaseGrant{Lease: s.lastLeaseID})
 }
 
-func (s *StateService) expireLease(id uint64, g *lease, n int) {
-	if g.renewals != n || s.leases[id] != g {
+// serveRenewal answers a request to renew the lease that its path names.
+func (s *StateService) serveRenewal(path string, reply replyFunc) {
+	id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64) // no number: 0, which no lease has
+	if s.leases[id] == nil {
+		reply(http.StatusNotFound, nil)
 		return
 	}
-	if s.Unavailable { // after an outage every grant has its full time again
+	s.renewLease(id)
+	reply(http.StatusOK, &emptyResponse{})
+}
+
+// renewLease gives a lease its full time from now on.
+func (s *StateService) renewLease(id uint64) {
+	renewed := s.leases[id]
+	renewed.renewals++
+	renewals := renewed.renewals
+	s.cluster.after(renewed.duration, func() {
+		if renewed.renewals == renewals && s.leases[id] == renewed {
+			s.expireLease(id)
+		}
+	})
+}
+
+// expireLease deletes a lease and the entries under it. In an outage no lease expires.
+func (s *StateService) expireLease(id uint64) {
+	if s.Unavailable {
 		s.renewLease(id)
 		return
 	}
@@ -30,8 +66,7 @@
 	s.revision++
 	for _, key := range s.keys("") {
 		if s.entries[key].Lease == id {
-			delete(s.entries, key)
-			s.changeLog = append(s.changeLog, protocol.Change{Delete: key, Revision: s.revision})
+			s.deleteEntry(key)
 		}
 	}
 	s.notifyWatches()
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -26,7 +26,7 @@
 			process.ReportsOldVersion = false
 			process.settings.Deployment.State.Next = next
 			if err := process.settings.LimitByNext(); err != nil {
-				c.reportViolation("settings refused: %v", err)
+				c.reportViolation(RuleSettingsValid, "%v", err)
 			}
 			c.after(2500*time.Millisecond, process.Start)
 		})
@@ -74,11 +74,11 @@
 		cluster.monitorWaitingJobs()
 		random := rand.New(rand.NewPCG(uint64(i), 17))
 		addMachines(cluster, 220, 0)
-		cluster.Cloud.Capacity["small/a/false"] = 30
-		cluster.Submit(6, NewSubmission("wk-large", protocol.ShapeArray, 20000, 1, 4, nil))
+		cluster.Cloud.Capacity[Offer{"small", "a", false}] = 30
+		cluster.Submit(6, NewSubmission("wk-large", protocol.ShapeArray, 20000, 1, 4))
 		for k := range 30 {
 			id, at := fmt.Sprintf("wk-%d", k), 8+3*float64(k)
-			cluster.Submit(at, NewSubmission(id, protocol.ShapeArray, 1+k%4, 1, 5, nil))
+			cluster.Submit(at, NewSubmission(id, protocol.ShapeArray, 1+k%4, 1, 5))
 			if k%5 == 0 {
 				cluster.Cancel(at+4*random.Float64(), id)
 			}
@@ -86,7 +86,7 @@
 		cluster.At(20, func() { cluster.killMachines(5) })
 		cluster.rollingUpgrade(25, 6, &settings.NextLimits{ValueKB: &kb, TxnOps: &ops, WriteRPS: &rate})
 		for k := range 4 { // pipelines, once all are new
-			cluster.submitOnceAccepted(75+float64(k), NewSubmission(fmt.Sprintf("wk-a%d", k), protocol.ShapeArray, 2, 1, 4, nil))
+			cluster.submitOnceAccepted(75+float64(k), NewSubmission(fmt.Sprintf("wk-a%d", k), protocol.ShapeArray, 2, 1, 4))
 			cluster.submitOnceAccepted(76+float64(k), NewSubmission(fmt.Sprintf("wk-b%d", k), protocol.ShapeArray, 2, 1, 4, DependsOn(fmt.Sprintf("wk-a%d", k))))
 		}
 		cluster.At(down, func() { cluster.State.LowerLimits(kb, ops, rate) })
--- a/internal/simulator/state_outage_test.go
+++ b/internal/simulator/state_outage_test.go
@@ -13,9 +13,9 @@
 func TestStateOutage(t *testing.T) {
 	cluster := playTraced(t, "state-outage", 5, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
 		cluster.At(12, func() { cluster.State.StartOutage(10 * time.Second) })
-		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5, nil))
+		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 3, 1, 5))
 		cluster.Cancel(15, "wk-1")
 	})
 	expectStatus(t, cluster, protocol.JobCancelled, "wk-1")
@@ -30,8 +30,8 @@
 func TestControllersCrashDuringStateOutage(t *testing.T) {
 	cluster := playTraced(t, "crash-in-outage", 26, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40, nil))
-		cluster.Submit(11.8, NewSubmission("wk-2", protocol.ShapeGang, 2, 3, 10, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40))
+		cluster.Submit(11.8, NewSubmission("wk-2", protocol.ShapeGang, 2, 3, 10))
 		cluster.At(12, func() { cluster.State.StartOutage(12 * time.Second) })
 		cluster.Cancel(13, "wk-1")
 		cluster.At(20, func() {
@@ -53,7 +53,7 @@
 		cluster.ServeAPI()
 		addMachines(cluster, 6, 0)
 		for i := 0; i < 20; i++ {
-			cluster.Submit(5+float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 20, nil))
+			cluster.Submit(5+float64(i), NewSubmission(fmt.Sprintf("wk-%d", i), protocol.ShapeArray, 4, 1, 20))
 		}
 		cluster.At(12, func() {
 			if alone {
@@ -91,11 +91,11 @@
 	cluster := NewCluster(37)
 	cluster.ServeAPI()
 	addMachines(cluster, 6, 0)
-	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30, nil))
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 	cluster.At(11, func() { cluster.SetRefusal("n1", "state", true) })
 	cluster.At(14, func() { cluster.State.StartOutage(8 * time.Second) })
 	cluster.At(60, func() { cluster.SetRefusal("n1", "state", false) })
-	cluster.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+	cluster.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 	owned := 0
 	cluster.At(22+14.0/4, func() {
 		for _, name := range []string{"n0", "n2"} {
