--- a/internal/simulator/state_service.go
+++ b/internal/simulator/state_service.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"net/url"
 	"slices"
 	"sort"
@@ -12,134 +13,177 @@
 	"curlewspool/internal/protocol"
 )
 
-// StateService is a stand-in for the state service, written from PROTOCOL.
+// Paths of the state service.
+const (
+	pathTransactions = "/multi"
+	pathLeases       = "/grants"
+	pathEntries      = "/store"
+	pathEntry        = "/store/"
+	renewSuffix      = "/touch"
+)
+
+// StateService simulates the state service: a key-value store with revisions,
+// conditional transactions, leases and watches, written from its protocol alone.
 type StateService struct {
+	Address string
+	// Unavailable: it answers 503 to everything.
+	Unavailable bool
+	// ResponseDelay is how late the answer to a request for a path leaves; nil: at once.
+	ResponseDelay func(path string) time.Duration
+	// Writes counts the mutations that were made.
+	Writes int
+	// OversizedRequests are the values and transactions that were refused as too large.
+	OversizedRequests []string
+
 	cluster           *Cluster
-	Address           string
-	Unavailable       bool
 	revision          uint64
 	entries           map[string]protocol.Entry
 	changeLog         []protocol.Change
 	compactedRevision uint64 // changes up to this one are not kept any more
 	leases            map[uint64]*lease
 	lastLeaseID       uint64
-	pendingWatches    []func(final bool) bool
-	Writes            int
-	ResponseDelay     func(path string) time.Duration // how late an answer leaves; nil: at once
-	// What of the limits was used.
-	requestLimit, writeLimit rateLimit
-	maxValueKB               float64
-	maxTransactionSize       int
-	OversizedRequests        []string // values and transactions that were refused as such
+	pendingWatches    []*watch
+
+	requestLimit       rateLimit
+	writeLimit         rateLimit
+	maxValueKB         float64
+	maxTransactionSize int // in mutations
 }
 
 func newStateService(cluster *Cluster) *StateService {
-	d := &cluster.Settings.Deployment.State
-	state := &StateService{cluster: cluster, entries: map[string]protocol.Entry{}, leases: map[uint64]*lease{},
-		requestLimit: newRateLimit(d.RPS, d.RPS), writeLimit: newRateLimit(d.WriteRPS, d.WriteRPS), maxValueKB: d.ValueKB, maxTransactionSize: d.TxnOps}
-	state.Address = cluster.listen(cluster.address("state"), state.serve)
+	limits := &cluster.Settings.Deployment.State
+	state := &StateService{
+		cluster:            cluster,
+		entries:            map[string]protocol.Entry{},
+		leases:             map[uint64]*lease{},
+		requestLimit:       newRateLimit(limits.RPS, limits.RPS),
+		writeLimit:         newRateLimit(limits.WriteRPS, limits.WriteRPS),
+		maxValueKB:         limits.ValueKB,
+		maxTransactionSize: limits.TxnOps,
+	}
+	state.Address = cluster.listen(cluster.address(stateHost), state.serve)
 	return state
 }
 
-type responseFields map[string]any
+// LowerLimits lowers the service's limits from now on, without notice. What is stored
+// stays.
+func (s *StateService) LowerLimits(valueKB float64, transactionSize int, writesPerSecond float64) {
+	s.cluster.Trace("limits of the state service: values of %v KB, %d changes a transaction, %v a second", valueKB, transactionSize, writesPerSecond)
+	s.maxValueKB = valueKB
+	s.maxTransactionSize = transactionSize
+	s.writeLimit.perSecond = writesPerSecond
+	s.writeLimit.burst = writesPerSecond
+}
+
+// StartOutage makes the service unavailable for a while. After it every lease has its
+// full time again.
+func (s *StateService) StartOutage(duration time.Duration) {
+	s.cluster.Trace("state service down")
+	s.setUnavailable(true)
+	s.cluster.after(duration, func() {
+		s.cluster.Trace("state service back")
+		s.setUnavailable(false)
+		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+			s.renewLease(id)
+		}
+		s.notifyWatches()
+	})
+}
 
-// LowerLimits gives the service lower limits from now on, without notice. What is stored stays.
-func (s *StateService) LowerLimits(valueKB float64, txnOps int, writeRPS float64) {
-	s.cluster.Trace("limits of the state service: values of %v KB, %d changes a transaction, %v a second", valueKB, txnOps, writeRPS)
-	s.maxValueKB, s.maxTransactionSize = valueKB, txnOps
-	s.writeLimit.perSecond, s.writeLimit.burst = writeRPS, writeRPS
+func (s *StateService) setUnavailable(unavailable bool) {
+	s.Unavailable = unavailable
+	s.cluster.outages[s.Address] = unavailable
 }
 
-func (s *StateService) serve(method, path string, body []byte, reply func(int, any)) {
+// replyFunc answers a request with a status and a body; nil: with none.
+type replyFunc = func(status int, body any)
+
+func (s *StateService) serve(method, path string, body []byte, reply replyFunc) {
 	if s.ResponseDelay != nil {
-		at, soon := s.ResponseDelay(path), reply
-		reply = func(status int, answer any) { s.cluster.after(at, func() { soon(status, answer) }) }
+		reply = s.delayed(reply, s.ResponseDelay(path))
 	}
 	if s.Unavailable {
-		reply(503, responseFields{"error": "trouble"})
+		reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "trouble"})
 		return
 	}
 	if !s.requestLimit.take(s.cluster.now, 1) {
-		reply(429, nil)
+		reply(http.StatusTooManyRequests, nil)
 		return
 	}
-	u, err := url.Parse(path)
+	target, err := url.Parse(path)
 	if err != nil {
-		reply(400, nil)
+		reply(http.StatusBadRequest, nil)
 		return
 	}
-	q := u.Query()
-	switch {
-	case method == "POST" && u.Path == "/multi":
+	s.route(method, target, body, reply)
+}
+
+func (s *StateService) delayed(reply replyFunc, delay time.Duration) replyFunc {
+	return func(status int, body any) {
+		s.cluster.after(delay, func() { reply(status, body) })
+	}
+}
+
+func (s *StateService) route(method string, target *url.URL, body []byte, reply replyFunc) {
+	isPost := method == http.MethodPost
+	switch path := target.Path; {
+	case isPost && path == pathTransactions:
 		s.applyTransaction(body, reply)
-	case method == "POST" && u.Path == "/grants":
-		var r protocol.LeaseRequest
-		if protocol.Decode(body, &r) != nil || r.TTLMillis < 100 {
-			reply(400, nil)
-			return
-		}
-		s.lastLeaseID++
-		s.leases[s.lastLeaseID] = &lease{duration: time.Duration(r.TTLMillis) * time.Millisecond}
-		s.renewLease(s.lastLeaseID)
-		reply(200, responseFields{"permit": s.lastLeaseID})
-	case method == "POST" && strings.HasSuffix(u.Path, "/touch"):
-		id, _ := strconv.ParseUint(strings.Split(u.Path, "/")[2], 10, 64)
-		if s.leases[id] == nil {
-			reply(404, nil)
-			return
-		}
-		s.renewLease(id)
-		reply(200, responseFields{})
-	case u.Path == "/store":
-		list := protocol.EntryList{StoreRevision: s.revision, Entries: []protocol.Entry{}}
-		limit, _ := strconv.Atoi(q.Get("limit"))
-		for _, key := range s.keys(q.Get("under")) {
-			if key <= q.Get("since") {
-				continue
-			}
-			if len(list.Entries) >= limit {
-				list.Truncated = true
-				break
-			}
-			list.Entries = append(list.Entries, s.entries[key])
+	case isPost && path == pathLeases:
+		s.grantLease(body, reply)
+	case isPost && strings.HasSuffix(path, renewSuffix):
+		s.serveRenewal(path, reply)
+	case path == pathEntries:
+		s.listEntries(target.Query(), reply)
+	case strings.HasPrefix(path, pathEntry):
+		s.readEntry(strings.TrimPrefix(path, pathEntry), reply)
+	case path == pathChanges:
+		s.serveWatch(target.Query(), reply)
+	default:
+		reply(http.StatusBadRequest, nil)
+	}
+}
+
+// listEntries answers with the entries under a prefix, after a key, up to a limit.
+func (s *StateService) listEntries(query url.Values, reply replyFunc) {
+	list := protocol.EntryList{StoreRevision: s.revision, Entries: []protocol.Entry{}}
+	limit, _ := strconv.Atoi(query.Get("limit")) // none: 0
+	since := query.Get("since")
+	for _, key := range s.keys(query.Get("under")) {
+		if key <= since {
+			continue
 		}
-		reply(200, &list)
-	case strings.HasPrefix(u.Path, "/store/"):
-		if entry, ok := s.entries[u.Path[7:]]; ok {
-			reply(200, &entry)
-		} else {
-			reply(404, responseFields{"ledger": s.revision})
+		if len(list.Entries) >= limit {
+			list.Truncated = true
+			break
 		}
-	case u.Path == "/changes":
-		since, _ := strconv.ParseUint(q.Get("since"), 10, 64)
-		hold, _ := strconv.Atoi(q.Get("holdMs"))
-		s.watchChanges(q.Get("under"), since, time.Duration(hold)*time.Millisecond, reply)
-	default:
-		reply(400, nil)
+		list.Entries = append(list.Entries, s.entries[key])
+	}
+	reply(http.StatusOK, &list)
+}
+
+// missingEntry answers a read of a key that is not there.
+type missingEntry struct {
+	StoreRevision uint64 `cbor:"ledger"`
+}
+
+func (s *StateService) readEntry(key string, reply replyFunc) {
+	entry, ok := s.entries[key]
+	if !ok {
+		reply(http.StatusNotFound, &missingEntry{StoreRevision: s.revision})
+		return
 	}
+	reply(http.StatusOK, &entry)
 }
 
+// keys lists the keys with a prefix, in order.
 func (s *StateService) keys(prefix string) []string {
-	var out []string
+	var keys []string
 	for key := range s.entries {
 		if strings.HasPrefix(key, prefix) {
-			out = append(out, key)
+			keys = append(keys, key)
 		}
 	}
-	sort.Strings(out)
-	return out
-}
-
-// StartOutage stops the service for a while.
-func (s *StateService) StartOutage(duration time.Duration) {
-	s.cluster.Trace("state service down")
-	s.Unavailable, s.cluster.outages[s.Address] = true, true
-	s.cluster.after(duration, func() {
-		s.cluster.Trace("state service back")
-		s.Unavailable, s.cluster.outages[s.Address] = false, false
-		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
-			s.renewLease(id)
-		}
-		s.notifyWatches()
-	})
+	sort.Strings(keys)
+	return keys
 }
--- a/internal/simulator/state_transactions.go
+++ b/internal/simulator/state_transactions.go
@@ -2,73 +2,104 @@
 
 import (
 	"fmt"
+	"net/http"
+
+	"github.com/fxamacker/cbor/v2"
 
 	"curlewspool/internal/protocol"
+)
 
-	"github.com/fxamacker/cbor/v2"
+// Limits of a transaction beside the number of its mutations.
+const (
+	maxTransactionBytes     = 64 << 10
+	maxConditionsByMutation = 4 // times as many conditions as mutations are allowed
 )
 
-func (s *StateService) applyTransaction(body []byte, reply func(int, any)) {
-	var t protocol.Transaction
-	if protocol.Decode(body, &t) != nil {
-		reply(400, responseFields{"error": "malformed"})
+// applyTransaction makes all of a transaction's mutations if all its conditions hold.
+func (s *StateService) applyTransaction(body []byte, reply replyFunc) {
+	var transaction protocol.Transaction
+	if protocol.Decode(body, &transaction) != nil {
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "malformed"})
 		return
 	}
-	if why := s.exceededLimit(&t, len(body)); why != "" {
-		s.OversizedRequests = append(s.OversizedRequests, why)
-		reply(400, responseFields{"error": "too large"})
+	if exceeded := s.exceededLimit(&transaction, len(body)); exceeded != "" {
+		s.OversizedRequests = append(s.OversizedRequests, exceeded)
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "too large"})
 		return
 	}
-	if !s.writeLimit.take(s.cluster.now, len(t.Mutations)) {
-		reply(429, nil)
+	if !s.writeLimit.take(s.cluster.now, len(transaction.Mutations)) {
+		reply(http.StatusTooManyRequests, nil)
 		return
 	}
-	for _, mutation := range t.Mutations {
+	if !s.hasLeases(transaction.Mutations) {
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "no such lease"})
+		return
+	}
+	if failed := s.failedKeys(transaction.Conditions); failed != nil {
+		reply(http.StatusConflict, &protocol.TransactionResult{FailedKeys: failed, StoreRevision: s.revision})
+		return
+	}
+	s.mutate(transaction.Mutations)
+	reply(http.StatusOK, &protocol.TransactionResult{StoreRevision: s.revision})
+	if len(transaction.Mutations) > 0 {
+		s.notifyWatches()
+	}
+}
+
+// hasLeases tells whether all leases exist that mutations name.
+func (s *StateService) hasLeases(mutations []protocol.Mutation) bool {
+	for _, mutation := range mutations {
 		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
-			reply(400, responseFields{"error": "no such lease"})
-			return
+			return false
 		}
 	}
-	var failed []string
-	for _, condition := range t.Conditions {
+	return true
+}
+
+// failedKeys lists the keys whose conditions do not hold; nil: all hold.
+func (s *StateService) failedKeys(conditions []protocol.Condition) (failed []string) {
+	for _, condition := range conditions {
 		if s.entries[condition.Key].Revision != condition.Revision {
 			failed = append(failed, condition.Key)
 		}
 	}
-	if failed != nil {
-		reply(409, &protocol.TransactionResult{FailedKeys: failed, StoreRevision: s.revision})
-		return
-	}
-	if len(t.Mutations) > 0 {
+	return failed
+}
+
+// mutate makes mutations under one new revision.
+func (s *StateService) mutate(mutations []protocol.Mutation) {
+	if len(mutations) > 0 {
 		s.revision++
-		s.Writes += len(t.Mutations)
+		s.Writes += len(mutations)
 	}
-	for _, mutation := range t.Mutations {
+	for _, mutation := range mutations {
 		if mutation.Put != "" {
-			v := append(cbor.RawMessage(nil), mutation.Value...)
-			s.entries[mutation.Put] = protocol.Entry{Key: mutation.Put, Value: v, Revision: s.revision, Lease: mutation.Lease}
-			s.changeLog = append(s.changeLog, protocol.Change{Put: mutation.Put, Value: v, Revision: s.revision})
+			s.putEntry(mutation)
 		} else if _, ok := s.entries[mutation.Delete]; ok {
-			delete(s.entries, mutation.Delete)
-			s.changeLog = append(s.changeLog, protocol.Change{Delete: mutation.Delete, Revision: s.revision})
+			s.deleteEntry(mutation.Delete)
 		}
 	}
-	if n := len(s.changeLog) - maxChangeLog; n > maxChangeLog/10 {
-		s.compactedRevision = s.changeLog[n-1].Revision
-		s.changeLog = append([]protocol.Change(nil), s.changeLog[n:]...)
-	}
-	reply(200, &protocol.TransactionResult{StoreRevision: s.revision})
-	if len(t.Mutations) > 0 {
-		s.notifyWatches()
-	}
+	s.compactChangeLog()
+}
+
+func (s *StateService) putEntry(mutation protocol.Mutation) {
+	value := append(cbor.RawMessage(nil), mutation.Value...)
+	s.entries[mutation.Put] = protocol.Entry{Key: mutation.Put, Value: value, Revision: s.revision, Lease: mutation.Lease}
+	s.changeLog = append(s.changeLog, protocol.Change{Put: mutation.Put, Value: value, Revision: s.revision})
+}
+
+func (s *StateService) deleteEntry(key string) {
+	delete(s.entries, key)
+	s.changeLog = append(s.changeLog, protocol.Change{Delete: key, Revision: s.revision})
 }
 
 // exceededLimit says what of a transaction is above the limits; "": nothing.
-func (s *StateService) exceededLimit(t *protocol.Transaction, size int) string {
-	if len(t.Mutations) > s.maxTransactionSize || len(t.Conditions) > 4*s.maxTransactionSize || size > 64<<10 {
-		return fmt.Sprintf("%d changes, %d conditions, %d bytes", len(t.Mutations), len(t.Conditions), size)
+func (s *StateService) exceededLimit(transaction *protocol.Transaction, size int) string {
+	mutations, conditions := len(transaction.Mutations), len(transaction.Conditions)
+	if mutations > s.maxTransactionSize || conditions > maxConditionsByMutation*s.maxTransactionSize || size > maxTransactionBytes {
+		return fmt.Sprintf("%d changes, %d conditions, %d bytes", mutations, conditions, size)
 	}
-	for _, mutation := range t.Mutations {
+	for _, mutation := range transaction.Mutations {
 		var value any
 		if mutation.Put == "" || protocol.Decode(mutation.Value, &value) != nil {
 			continue
@@ -80,19 +111,19 @@
 	return ""
 }
 
-// jsonSize is about the size of a value in the form that limits are counted in.
-func jsonSize(value any) (n int) {
+// jsonSize is about the size of a value as JSON, by which the limit is counted.
+func jsonSize(value any) (size int) {
 	switch v := value.(type) {
 	case map[any]any:
-		for k, x := range v {
-			n += jsonSize(k) + jsonSize(x) + 2
+		for key, element := range v {
+			size += jsonSize(key) + jsonSize(element) + 2
 		}
-		return n + 2
+		return size + 2
 	case []any:
-		for _, x := range v {
-			n += jsonSize(x) + 1
+		for _, element := range v {
+			size += jsonSize(element) + 1
 		}
-		return n + 2
+		return size + 2
 	case string:
 		return len(v) + 2
 	default:
--- a/internal/simulator/state_watches.go
+++ b/internal/simulator/state_watches.go
@@ -1,52 +1,88 @@
 package simulator
 
 import (
+	"net/http"
+	"net/url"
+	"strconv"
 	"strings"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
-// maxChangeLog is how many changes the service remembers for watches.
+// maxChangeLog is how many changes the service keeps for watches; it may keep a tenth
+// more until the next compaction.
 const maxChangeLog = 10000
 
-func (s *StateService) watchChanges(prefix string, since uint64, hold time.Duration, reply func(int, any)) {
-	answered := false
-	try := func(final bool) bool {
-		if answered || s.Unavailable {
-			return answered
-		}
-		if since < s.compactedRevision {
-			answered = true
-			reply(410, nil)
-			return true
-		}
-		c := protocol.ChangeLog{StoreRevision: s.revision, Changes: []protocol.Change{}}
-		for _, change := range s.changeLog {
-			if change.Revision > since && strings.HasPrefix(change.Put+change.Delete, prefix) {
-				c.Changes = append(c.Changes, change)
-			}
-		}
-		if len(c.Changes) == 0 && !final {
-			return false
-		}
-		answered = true
-		reply(200, &c)
-		return true
+// compactChangeLog forgets the oldest changes.
+func (s *StateService) compactChangeLog() {
+	excess := len(s.changeLog) - maxChangeLog
+	if excess <= maxChangeLog/10 {
+		return
 	}
-	if try(hold == 0) {
+	s.compactedRevision = s.changeLog[excess-1].Revision
+	s.changeLog = append([]protocol.Change(nil), s.changeLog[excess:]...)
+}
+
+// watch is a request for changes that is held until there are some.
+type watch struct {
+	prefix   string
+	since    uint64 // revision
+	reply    replyFunc
+	answered bool
+}
+
+// serveWatch answers with the changes under a prefix since a revision, as soon as there
+// are some, or with none when the time to hold the request is over.
+func (s *StateService) serveWatch(query url.Values, reply replyFunc) {
+	since, _ := strconv.ParseUint(query.Get("since"), 10, 64) // none: 0
+	holdMillis, _ := strconv.Atoi(query.Get("holdMs"))        // none: 0
+	w := &watch{prefix: query.Get("under"), since: since, reply: reply}
+	s.tryAnswer(w, holdMillis == 0)
+	if w.answered {
 		return
 	}
-	s.pendingWatches = append(s.pendingWatches, try)
-	s.cluster.after(hold, func() { try(true) })
+	s.pendingWatches = append(s.pendingWatches, w)
+	hold := time.Duration(holdMillis) * time.Millisecond
+	s.cluster.after(hold, func() { s.tryAnswer(w, true) })
+}
+
+// tryAnswer answers a watch if there are changes, or its time is over (final).
+func (s *StateService) tryAnswer(w *watch, final bool) {
+	if w.answered || s.Unavailable {
+		return
+	}
+	if w.since < s.compactedRevision {
+		w.answered = true
+		w.reply(http.StatusGone, nil)
+		return
+	}
+	changes := s.changesSince(w.prefix, w.since)
+	if len(changes) == 0 && !final {
+		return
+	}
+	w.answered = true
+	w.reply(http.StatusOK, &protocol.ChangeLog{StoreRevision: s.revision, Changes: changes})
+}
+
+func (s *StateService) changesSince(prefix string, revision uint64) []protocol.Change {
+	changes := []protocol.Change{}
+	for _, change := range s.changeLog {
+		if change.Revision > revision && strings.HasPrefix(change.Put+change.Delete, prefix) {
+			changes = append(changes, change)
+		}
+	}
+	return changes
 }
 
+// notifyWatches answers the watches for which there are changes.
 func (s *StateService) notifyWatches() {
-	open := s.pendingWatches
+	pending := s.pendingWatches
 	s.pendingWatches = nil
-	for _, f := range open {
-		if !f(false) {
-			s.pendingWatches = append(s.pendingWatches, f)
+	for _, w := range pending {
+		s.tryAnswer(w, false)
+		if !w.answered {
+			s.pendingWatches = append(s.pendingWatches, w)
 		}
 	}
 }
--- a/internal/simulator/submissions.go
+++ b/internal/simulator/submissions.go
@@ -1,24 +1,42 @@
 package simulator
 
-import (
-	"curlewspool/internal/protocol"
-)
+import "curlewspool/internal/protocol"
 
-// NewSubmission makes a submission with the usual fields; edit changes it.
-func NewSubmission(id string, shape protocol.JobShape, tasks int, cores, estimate float64, edit func(submission *protocol.Submission)) *protocol.Submission {
-	p := func(s string) *string { return &s }
-	f := func(v float64) *float64 { return &v }
-	n, no := uint64(tasks), false
-	yes := true
-	submission := &protocol.Submission{ID: p(id), Class: p("class"), Team: p("red"), Shape: &shape, Priority: p("standard"), Tasks: &n, Cores: f(cores),
-		GPUs: f(0), MemoryGB: f(1), Image: p("img"), ImageGB: f(0.5), SingleZone: &no, SpreadZones: &no, AllowSpot: &yes, Estimate: f(estimate), CheckpointInterval: f(0), CheckpointDuration: f(0)}
-	if edit != nil {
-		edit(submission)
+// SubmissionOption changes a submission from its usual form.
+type SubmissionOption func(submission *protocol.Submission)
+
+// NewSubmission returns a submission with the usual fields: of class "class" and team
+// red, of standard priority, with 1 GB of memory and an image of 0.5 GB, for any machine.
+// The estimate is in seconds. nil options are ignored.
+func NewSubmission(id string, shape protocol.JobShape, tasks int, cores, estimate float64, options ...SubmissionOption) *protocol.Submission {
+	submission := &protocol.Submission{
+		ID:                 &id,
+		Class:              new("class"),
+		Team:               new("red"),
+		Shape:              &shape,
+		Priority:           new("standard"),
+		Tasks:              new(uint64(tasks)),
+		Cores:              &cores,
+		GPUs:               new(0.0),
+		MemoryGB:           new(1.0),
+		Image:              new("img"),
+		ImageGB:            new(0.5),
+		SingleZone:         new(false),
+		SpreadZones:        new(false),
+		AllowSpot:          new(true),
+		Estimate:           &estimate,
+		CheckpointInterval: new(0.0),
+		CheckpointDuration: new(0.0),
+	}
+	for _, option := range options {
+		if option != nil {
+			option(submission)
+		}
 	}
 	return submission
 }
 
-// DependsOn makes a job need others.
-func DependsOn(needs ...string) func(submission *protocol.Submission) {
-	return func(submission *protocol.Submission) { submission.Dependencies = needs }
+// DependsOn makes a job depend on others.
+func DependsOn(jobs ...string) SubmissionOption {
+	return func(submission *protocol.Submission) { submission.Dependencies = jobs }
 }
--- a/internal/simulator/task_execution.go
+++ b/internal/simulator/task_execution.go
@@ -1,151 +1,139 @@
 package simulator
 
 import (
-	"strconv"
 	"time"
 
 	"curlewspool/internal/agent"
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
-// scheduleStep does f later unless the task has moved on or the machine is gone; a
-// hung machine goes on when it resumes.
-func (m *Machine) scheduleStep(t *attempt, duration time.Duration, f func()) {
-	t.timerGeneration++
-	n := t.timerGeneration
+// taskAttempt is one attempt of a task on a machine.
+type taskAttempt struct {
+	agent.TaskID
+	number        uint64
+	state         protocol.TaskState
+	cause         protocol.TerminationCause // why it ended
+	checkpointed  bool
+	present       bool // has its image and has not exited
+	resultExisted bool // the result of an earlier attempt was there already
+	step          int  // counts scheduled steps: earlier ones are void
+}
+
+// scheduleStep runs f later unless the attempt has moved on or is gone; a hung machine
+// does it when it goes on.
+func (m *Machine) scheduleStep(attempt *taskAttempt, delay time.Duration, f func()) {
+	attempt.step++
+	step := attempt.step
 	var try func()
 	try = func() {
-		if m.deleted || t.timerGeneration != n || m.findAttempt(t.String(), t.number) != t {
+		if m.deleted || attempt.step != step || m.findAttempt(attempt.String(), attempt.number) != attempt {
 			return
 		}
 		if m.Hung {
-			m.cluster.after(time.Second, try)
+			m.cluster.after(hungRetryInterval, try)
 			return
 		}
 		f()
 	}
-	m.cluster.after(duration, try)
+	m.cluster.after(delay, try)
 }
 
-// ActualRuntime is how long a task really takes: a little off its estimate.
+// ActualRuntime is how long a task really runs: a little off its job's estimate.
 func ActualRuntime(job *protocol.Job, index int) time.Duration {
-	return time.Duration(job.Estimate * (0.9 + 0.05*float64(index%5)) * float64(time.Second))
+	return env.Seconds(job.Estimate * (0.9 + 0.05*float64(index%5)))
 }
 
-func (m *Machine) runTask(t *attempt, job *protocol.Job) {
-	t.state, t.since = protocol.TaskRunning, m.cluster.now
-	m.reportSoon()
-	if job.Shape == protocol.ShapeService {
+// startTask starts a task whose image is there. A gang's then waits for the others.
+func (m *Machine) startTask(attempt *taskAttempt, job *protocol.Job) {
+	if m.Faulty || m.cluster.FailingJobs[attempt.Job] {
+		m.cluster.FailedStarts = append(m.cluster.FailedStarts, attempt.TaskID)
+		m.endAttempt(attempt, protocol.CauseError)
 		return
 	}
-	left := time.Duration(float64(ActualRuntime(job, t.Index))*orOne(m.cluster.RuntimeFactors[job.Class])*(1+m.cluster.RuntimeSpread[job.Class]*float64(t.Index))) - t.progress
-	if home, whose := m.cluster.origin(t.TaskID); home.completedTasks[whose] {
-		left, t.resultExisted = 0, true // its result is there from before
+	attempt.present = true
+	m.observe(attempt, observedStart)
+	m.cluster.checkStart(m, attempt, job)
+	if job.Shape != protocol.ShapeGang {
+		m.runTask(attempt, job)
+		return
 	}
-	m.scheduleStep(t, left, func() { m.endAttempt(t, protocol.CauseDone) })
+	attempt.state = protocol.TaskWaitingForGang
+	gangWait := env.Seconds(m.cluster.Settings.Deployment.Workers.GangWait)
+	m.scheduleStep(attempt, gangWait, func() { m.endAttempt(attempt, protocol.CauseGangIncomplete) })
+	m.reportSoon()
+	m.cluster.startGang(job, attempt.number)
 }
 
-func (m *Machine) endAttempt(t *attempt, cause protocol.TerminationCause) {
-	t.timerGeneration++
-	switch {
-	case t.resultExisted && cause == protocol.CauseDone:
-		m.observe(t, "kept")
-	case t.present:
-		m.observe(t, string(cause))
+// runTask runs a task until it is done; a service's until it is stopped. A task whose
+// result is there from before is done at once.
+func (m *Machine) runTask(attempt *taskAttempt, job *protocol.Job) {
+	attempt.state = protocol.TaskRunning
+	m.reportSoon()
+	if job.Shape == protocol.ShapeService {
+		return
 	}
-	t.state, t.cause, t.present = protocol.TaskEnded, cause, false
-	if cause == protocol.CauseDone {
-		m.cluster.recordCompletion(t.TaskID, m)
+	runtime := m.cluster.scaledRuntime(job, attempt.Index)
+	if m.cluster.hasResult(attempt) {
+		runtime = 0
+		attempt.resultExisted = true
 	}
-	m.reportSoon()
+	m.scheduleStep(attempt, runtime, func() { m.endAttempt(attempt, protocol.CauseDone) })
 }
 
-func (c *Cluster) recordCompletion(t agent.TaskID, machine *Machine) {
-	home, whose := c.origin(t)
-	if home.completedTasks == nil {
-		home.completedTasks = map[agent.TaskID]bool{}
-	}
-	home.completedTasks[whose] = true
-	c.histories.recordCompletion(whose)
-	if c.OnJobCompleted != nil && len(c.histories.job(whose.Job).completedTasks) == home.jobs[whose.Job].Tasks {
-		c.OnJobCompleted(whose.Job)
-	}
-	c.Trace("  %s done", t)
+// scaledRuntime is a task's actual runtime by the factors of its class.
+func (c *Cluster) scaledRuntime(job *protocol.Job, index int) time.Duration {
+	factor := factorOrOne(c.RuntimeFactors[job.Class])
+	spread := 1 + c.RuntimeSpread[job.Class]*float64(index)
+	return time.Duration(float64(ActualRuntime(job, index)) * factor * spread)
 }
 
-// startGang starts the tasks of an attempt when all wait.
-func (c *Cluster) startGang(job *protocol.Job, try uint64) {
-	type at struct {
-		w *Machine
-		t *attempt
-	}
-	var all []at
-	for _, id := range c.machineIDs() {
-		for _, t := range c.Machines[id].attempts {
-			if t.Job == job.ID && t.number == try && t.state == protocol.TaskWaitingForGang {
-				all = append(all, at{c.Machines[id], t})
-			}
-		}
-	}
-	if len(all) < job.Tasks {
-		return
+// hasResult tells whether an earlier attempt of the task was done.
+func (c *Cluster) hasResult(attempt *taskAttempt) bool {
+	home, task := c.origin(attempt.TaskID)
+	return home.completedTasks[task]
+}
+
+// endAttempt ends an attempt with a cause.
+func (m *Machine) endAttempt(attempt *taskAttempt, cause protocol.TerminationCause) {
+	attempt.step++
+	switch {
+	case attempt.resultExisted && cause == protocol.CauseDone:
+		m.observe(attempt, observedResultReused)
+	case attempt.present:
+		m.observe(attempt, string(cause))
 	}
-	c.Trace("  gang %s runs with %s tasks", job.ID, strconv.Itoa(len(all)))
-	takes := ActualRuntime(job, 0)
-	for _, a := range all {
-		a.t.timerGeneration++ // no longer waits
-		a.t.state, a.t.since = protocol.TaskRunning, c.now
-		if home, whose := c.origin(a.t.TaskID); home.completedTasks[whose] {
-			takes, a.t.resultExisted = 0, true // its result is there from before
-		}
-		a.w.reportSoon()
+	attempt.state = protocol.TaskEnded
+	attempt.cause = cause
+	attempt.present = false
+	if cause == protocol.CauseDone {
+		m.cluster.recordCompletion(attempt.TaskID)
 	}
-	c.monitorGang(job, try, takes)
+	m.reportSoon()
 }
 
-// monitorGang ends a gang together: done, or gone with a lost mate.
-func (c *Cluster) monitorGang(job *protocol.Job, try uint64, takes time.Duration) {
-	started := c.now
-	var check func()
-	check = func() {
-		n := 0
-		var left []func(cause protocol.TerminationCause)
-		for _, id := range c.machineIDs() {
-			machine := c.Machines[id]
-			for _, t := range machine.attempts {
-				if t.Job == job.ID && t.number == try && t.present {
-					n++
-					left = append(left, func(cause protocol.TerminationCause) { machine.endAttempt(t, cause) })
-				}
-			}
-		}
-		switch {
-		case n == 0:
-		case n < job.Tasks:
-			for _, f := range left {
-				f(protocol.CauseGangMemberLost)
-			}
-		case c.now-started >= takes:
-			for _, f := range left {
-				f(protocol.CauseDone)
-			}
-		default:
-			c.after(500*time.Millisecond, check)
-		}
+// recordCompletion notes that a task is done, at the cluster that its user knows.
+func (c *Cluster) recordCompletion(id agent.TaskID) {
+	home, task := c.origin(id)
+	home.completedTasks[task] = true
+	c.histories.recordCompletion(task)
+	completed := len(c.histories.job(task.Job).completedTasks)
+	if c.OnJobCompleted != nil && completed == home.jobs[task.Job].Tasks {
+		c.OnJobCompleted(task.Job)
 	}
-	c.after(500*time.Millisecond, check)
+	c.Trace("  %s done", id)
 }
 
-// MachinesRunning lists the machines that run a task of a job now.
+// MachinesRunning lists the machines on which tasks of a job are now.
 func (c *Cluster) MachinesRunning(job string) []string {
-	var out []string
+	var ids []string
 	for _, id := range c.machineIDs() {
-		for _, t := range c.Machines[id].attempts {
-			if t.Job == job && t.present {
-				out = append(out, id)
+		for _, attempt := range c.Machines[id].attempts {
+			if attempt.Job == job && attempt.present {
+				ids = append(ids, id)
 				break
 			}
 		}
 	}
-	return out
+	return ids
 }
--- a/internal/simulator/team_limit_test.go
+++ b/internal/simulator/team_limit_test.go
@@ -52,7 +52,7 @@
 				addMachines(cluster, 8, 0)
 				i := 0
 				for _, team := range []string{"red", "blue", "green"} {
-					of := func(submission *protocol.Submission) { submission.Team = stringPointer(team) }
+					of := ofTeam(team)
 					half := int(limits[team]) / 2
 					cluster.Submit(5+float64(i), NewSubmission("wk-long-"+team, protocol.ShapeArray, half, 1, 60, of))
 					cluster.Submit(5.4+float64(i), NewSubmission("wk-rest-"+team, protocol.ShapeArray, int(limits[team])-half, 1, 25, of))
--- a/internal/simulator/traced_scenarios_test.go
+++ b/internal/simulator/traced_scenarios_test.go
@@ -120,9 +120,9 @@
 // be done, and an array that is cancelled.
 func submitStandardLoad(cluster *Cluster) []*Machine {
 	machines := addMachines(cluster, 6, 0)
-	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 10, 1, 25, nil))
-	cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 12, nil))
-	cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeArray, 2, 1, 40, nil))
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 10, 1, 25))
+	cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeGang, 2, 2, 12))
+	cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeArray, 2, 1, 40))
 	cluster.Cancel(13, "wk-3")
 	return machines
 }
@@ -135,10 +135,8 @@
 func submitArrays(cluster *Cluster, name string, at float64, jobs, tasks int, estimate float64) (ids []string) {
 	for i := 0; i < jobs; i++ {
 		id := fmt.Sprintf("%s%d", name, i+1)
-		cluster.Submit(at+float64(i)/float64(jobs), NewSubmission(id, protocol.ShapeArray, tasks, 1, estimate, nil))
+		cluster.Submit(at+float64(i)/float64(jobs), NewSubmission(id, protocol.ShapeArray, tasks, 1, estimate))
 		ids = append(ids, id)
 	}
 	return ids
 }
-
-func stringPointer(s string) *string { return &s }
--- a/internal/simulator/unreadable_record_test.go
+++ b/internal/simulator/unreadable_record_test.go
@@ -18,8 +18,8 @@
 	cluster.ServeAPI()
 	addMachines(cluster, 2, 0)
 	cluster.histories.FaultsOver = 10 * time.Second
-	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 4, 1, 3, nil))
-	cluster.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 40, 1, 30, nil))
+	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 4, 1, 3))
+	cluster.Submit(5, NewSubmission("wk-2", protocol.ShapeArray, 40, 1, 30))
 	cluster.At(10, func() {
 		cluster.State.revision++
 		v, _ := cbor.Marshal("torn")
--- a/internal/simulator/user_requests_test.go
+++ b/internal/simulator/user_requests_test.go
@@ -4,76 +4,147 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
 	"curlewspool/internal/protocol"
 )
 
-// repeatRequest has a user ask about a job, submit it once more, or cancel it, at one
-// controller. What it says must agree with all that was said before the question.
-func (c *Cluster) repeatRequest(node, what string, submission *protocol.Submission) {
-	id, out, asked, known := *submission.ID, &protocol.JobState{}, c.now, c.reportedStatus[*submission.ID] != ""
-	method, path, body := "POST", "/v2/runs", any(submission)
-	switch what {
-	case "ask":
-		method, path, body = "GET", "/v2/runs/"+id, nil
-	case "cancel":
-		path, body = "/v2/runs/"+id+"/abort", nil
-		c.cancelledAt[id] = max(c.cancelledAt[id], 1)
+// userAction is what a user does about a job.
+type userAction string
+
+// What users do once more about jobs.
+const (
+	pollAgain   userAction = "ask"
+	submitAgain userAction = "submit"
+	cancelAgain userAction = "cancel"
+)
+
+// userRequest is the request by which a user does something.
+type userRequest struct {
+	method, path string
+	body         any
+}
+
+func requestFor(action userAction, submission *protocol.Submission) userRequest {
+	id := *submission.ID
+	switch action {
+	case pollAgain:
+		return userRequest{http.MethodGet, pathJob + id, nil}
+	case cancelAgain:
+		return userRequest{http.MethodPost, pathJob + id + cancelSuffix, nil}
+	default:
+		return userRequest{http.MethodPost, pathJobs, submission}
+	}
+}
+
+// repeatRequest has a user poll a job, submit it once more, or cancel it, at one
+// controller. The answer must agree with all that was answered before the request.
+func (c *Cluster) repeatRequest(controller string, action userAction, submission *protocol.Submission) {
+	id := *submission.ID
+	askedAt, wasAccepted := c.now, c.reportedStatus[id] != ""
+	if action == cancelAgain {
+		c.noteCancellationRequest(id)
 	}
-	c.request(c.address("user"), c.apiAddress(node), method, path, body, out, 5*time.Second, func(status int) {
+	request, state := requestFor(action, submission), &protocol.JobState{}
+	c.request(c.address(userHost), c.apiAddress(controller), request.method, request.path, request.body, state, userTimeout, func(status int) {
 		switch {
 		case status == 400 || status == 404 || status == 422:
-			if known { // else nobody was told that it is accepted
-				c.reportViolation("forgotten: %s, %s at %s gets %d", id, what, node, status)
+			if wasAccepted {
+				c.reportViolation(RuleNotForgotten, "%s, %s at %s gets %d", id, action, controller, status)
 			}
-		case status/100 != 2, c.endReportedAt[id] > asked && out.Status != c.reportedStatus[id]:
-		case what == "cancel" && out.Status == protocol.JobCancelled && c.cancelledAt[id] <= 1:
-			c.recordCancellation(id)
-			c.recordStatus(id, out.Status)
+		case status/100 != 2:
+		case c.endReportedAt[id] > askedAt && state.Status != c.reportedStatus[id]:
+			// The end was told while this answer was on its way: they crossed.
+		case action == cancelAgain:
+			c.recordCancellationAnswer(id, state.Status)
 		default:
-			c.recordStatus(id, out.Status)
+			c.recordStatus(id, state.Status)
 		}
 	})
 }
 
-// sendInvalidRequests has users repeat submissions of a job, also with other fields, and submit jobs
-// that lack a field or can never run.
+// sendInvalidRequests has users repeat submissions of a job, also with other fields, and
+// submit jobs that lack a field or can never run.
 func (c *Cluster) sendInvalidRequests(from, to float64, submission *protocol.Submission) {
-	n := 0
+	count := 0
 	for at := from; at < to; at += 0.7 {
-		n++
-		other, none, never := *submission, *submission, *submission
-		other.Tasks, other.Estimate = nil, nil
-		none.ID, never.ID = stringPointer(fmt.Sprintf("wk-x%d", n)), stringPointer(fmt.Sprintf("wk-y%d", n))
-		lacks := []func(){func() { none.Image = nil }, func() { none.Cores = nil }, func() { none.SingleZone = nil }, func() { none.Priority = stringPointer("urgent") }, func() { none.Zone = stringPointer("") }}
-		lacks[n%len(lacks)]()
-		cores, many, gang, yes := 4096.0, uint64(9), protocol.ShapeGang, true
-		hopeless := []func(){func() { never.Cores = &cores }, func() { never.Team = stringPointer("nobody") }, func() { never.MachineTypes = []string{"none"} },
-			func() { never.Team, never.Shape, never.Tasks = stringPointer("blue"), &gang, &many },
-			func() { never.Shape, never.Tasks, never.SpreadZones, never.SingleZone = &gang, &many, &yes, &yes },
-			func() {
-				never.Shape, never.Tasks, never.SpreadZones, never.Zone = &gang, &many, &yes, stringPointer("b")
-			}}
-		hopeless[n%len(hopeless)]()
+		count++
+		changed := *submission
+		changed.Tasks, changed.Estimate = nil, nil
+		incomplete := incompleteSubmission(submission, count)
+		impossible := impossibleSubmission(submission, count)
 		c.At(at, func() {
-			node := c.controllerNames[n%len(c.controllerNames)]
-			c.repeatRequest(node, "submit", submission)
-			c.repeatRequest(node, "submit", &other)
-			refused := func(submission *protocol.Submission, want int) {
-				c.request(c.address("user"), c.apiAddress(node), "POST", "/v2/runs", submission, nil, 5*time.Second, func(status int) {
-					if status != want && status != 503 && status != 429 && status != 0 {
-						c.reportViolation("accepted though it can't run: %s gets %d", *submission.ID, status)
-					}
-				})
-			}
-			refused(&none, 400)
-			refused(&never, 422)
+			// count has its last value by now: all of them go to one controller.
+			controller := c.controllerNames[count%len(c.controllerNames)]
+			c.repeatRequest(controller, submitAgain, submission)
+			c.repeatRequest(controller, submitAgain, &changed)
+			c.expectRefusal(controller, incomplete, http.StatusBadRequest)
+			c.expectRefusal(controller, impossible, http.StatusUnprocessableEntity)
 		})
 	}
 }
 
+// expectRefusal submits a job that must be refused with a status, or not be answered now.
+func (c *Cluster) expectRefusal(controller string, submission *protocol.Submission, want int) {
+	c.request(c.address(userHost), c.apiAddress(controller), http.MethodPost, pathJobs, submission, nil, userTimeout, func(status int) {
+		switch status {
+		case want, http.StatusServiceUnavailable, http.StatusTooManyRequests, noAnswer:
+		default:
+			c.reportViolation(RuleInvalidRefused, "%s gets %d", *submission.ID, status)
+		}
+	})
+}
+
+// incompleteSubmission is a job wk-xN of which a field is missing or invalid.
+func incompleteSubmission(submission *protocol.Submission, number int) *protocol.Submission {
+	incomplete := *submission
+	incomplete.ID = new(fmt.Sprintf("wk-x%d", number))
+	switch number % 5 {
+	case 0:
+		incomplete.Image = nil
+	case 1:
+		incomplete.Cores = nil
+	case 2:
+		incomplete.SingleZone = nil
+	case 3:
+		incomplete.Priority = new("urgent")
+	case 4:
+		incomplete.Zone = new("")
+	}
+	return &incomplete
+}
+
+// impossibleSubmission is a job wk-yN that no cluster of these settings can ever run.
+func impossibleSubmission(submission *protocol.Submission, number int) *protocol.Submission {
+	impossible := *submission
+	impossible.ID = new(fmt.Sprintf("wk-y%d", number))
+	switch number % 6 {
+	case 0:
+		impossible.Cores = new(4096.0)
+	case 1:
+		impossible.Team = new("nobody")
+	case 2:
+		impossible.MachineTypes = []string{"none"}
+	case 3:
+		makeGangOfNine(&impossible)
+		impossible.Team = new("blue")
+	case 4:
+		makeGangOfNine(&impossible)
+		impossible.SpreadZones, impossible.SingleZone = new(true), new(true)
+	case 5:
+		makeGangOfNine(&impossible)
+		impossible.SpreadZones, impossible.Zone = new(true), new("b")
+	}
+	return &impossible
+}
+
+func makeGangOfNine(submission *protocol.Submission) {
+	submission.Shape = new(protocol.ShapeGang)
+	submission.Tasks = new(uint64(9))
+}
+
 // pollEveryController has users ask at all controllers, again and again within milliseconds,
 // and repeat the submission, right after a job was accepted, done or confirmed as
 // cancelled; a share of the jobs is cancelled at once.
@@ -85,9 +156,9 @@
 		cancel := status == protocol.JobPending && random.Float64() < cancelled
 		for i, name := range c.controllerNames {
 			for k := range 4 {
-				what := []string{"ask", "submit", "ask", "ask"}[(i+k)%4]
+				what := []userAction{pollAgain, submitAgain, pollAgain, pollAgain}[(i+k)%4]
 				if cancel && k == 1 && i == int(c.now)%len(c.controllerNames) {
-					what = "cancel"
+					what = cancelAgain
 				}
 				c.after(time.Duration(random.IntN(15*(k+1)))*time.Millisecond, func() { c.repeatRequest(name, what, c.submissions[id]) })
 			}
@@ -99,7 +170,7 @@
 func (c *Cluster) pollAllJobs(node string) {
 	for _, id := range slices.Sorted(maps.Keys(c.submissions)) {
 		if c.reportedStatus[id] != "" {
-			c.repeatRequest(node, "ask", c.submissions[id])
+			c.repeatRequest(node, pollAgain, c.submissions[id])
 		}
 	}
 }
@@ -121,15 +192,11 @@
 // accepted: a first one, two that need it, a gang that needs both, and a last one.
 func (c *Cluster) submitPipeline(at float64, name string) (ids []string) {
 	first, left, right, join, last := name+"-first", name+"-left", name+"-right", name+"-join", name+"-last"
-	due := 120.0
-	c.Submit(at, NewSubmission(first, protocol.ShapeArray, 4, 1, 5, nil))
+	c.Submit(at, NewSubmission(first, protocol.ShapeArray, 4, 1, 5))
 	c.submitOnceAccepted(at+0.2, NewSubmission(left, protocol.ShapeArray, 6, 1, 4, DependsOn(first)))
 	c.submitOnceAccepted(at+0.3, NewSubmission(right, protocol.ShapeArray, 3, 1, 8, DependsOn(first)))
 	c.submitOnceAccepted(at+0.5, NewSubmission(join, protocol.ShapeGang, 2, 2, 5, DependsOn(left, right)))
-	c.submitOnceAccepted(at+0.7, NewSubmission(last, protocol.ShapeArray, 2, 1, 3, func(submission *protocol.Submission) {
-		DependsOn(join)(submission)
-		submission.Priority, submission.Deadline = stringPointer("high"), &due
-	}))
+	c.submitOnceAccepted(at+0.7, NewSubmission(last, protocol.ShapeArray, 2, 1, 3, DependsOn(join), withPriority("high"), withDeadline(120)))
 	return []string{first, left, right, join, last}
 }
 
@@ -148,9 +215,7 @@
 			if random.IntN(4) == 0 {
 				shape, tasks = protocol.ShapeGang, 2
 			}
-			c.submitOnceAccepted(at+0.1*float64(i), NewSubmission(id, shape, tasks, 1, 2+6*random.Float64(), func(submission *protocol.Submission) {
-				submission.Dependencies, submission.Deadline = needs, &due
-			}))
+			c.submitOnceAccepted(at+0.1*float64(i), NewSubmission(id, shape, tasks, 1, 2+6*random.Float64(), DependsOn(needs...), withDeadline(due)))
 			if random.IntN(10) == 0 {
 				c.Cancel(at+30*random.Float64(), id)
 			}
@@ -165,10 +230,10 @@
 func (c *Cluster) makePartsUneven() {
 	c.RuntimeFactors = map[string]float64{"long": 6}
 	for i := range 24 {
-		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, func(submission *protocol.Submission) {
-			if i%3 == 0 {
-				submission.Class = stringPointer("long")
-			}
-		}))
+		class := "class"
+		if i%3 == 0 {
+			class = "long"
+		}
+		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, ofClass(class)))
 	}
 }
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -1,145 +1,161 @@
 package simulator
 
 import (
-	"strings"
+	"net/http"
 	"time"
 
-	"curlewspool/internal/agent"
 	"curlewspool/internal/protocol"
 )
 
-// ServeAPI connects the controllers' outer interface to the network.
-func (c *Cluster) ServeAPI() {
-	for _, name := range c.controllerNames {
-		process := c.Controllers[name]
-		serve := func(method, path string, body []byte, reply func(int, any)) {
-			user := func(status int, b any, _ int) { reply(status, b) }
-			switch {
-			case path == "/v1/report":
-				report := &protocol.Report{}
-				if protocol.Decode(body, report) != nil {
-					reply(400, nil)
-					return
-				}
-				process.Controller.HandleHeartbeat(report, reply)
-			case method == "POST" && path == "/v2/runs":
-				process.Controller.Submit(body, 0, user)
-			case method == "POST":
-				process.Controller.Cancel(strings.TrimSuffix(strings.TrimPrefix(path, "/v2/runs/"), "/abort"), user)
-			default:
-				process.Controller.Poll(strings.TrimPrefix(path, "/v2/runs/"), user)
-			}
-		}
-		c.handlers[c.address("api-"+name)] = func(method, path string, body []byte, reply func(int, any)) {
-			if process.SocketsExhausted && process.running { // no free socket: the connection fails at once
-				reply(0, nil)
-				return
-			}
-			process.execute(process.incarnation, func() { serve(method, path, body, reply) })
-		}
-	}
+// Paths of the users' interface.
+const (
+	pathJobs     = "/v2/runs"
+	pathJob      = "/v2/runs/"
+	cancelSuffix = "/abort"
+)
+
+// Times of users' requests and how often they repeat them.
+const (
+	userTimeout       = 5 * time.Second
+	pollTimeout       = 2 * time.Second
+	pollInterval      = 2 * time.Second
+	endedPollInterval = 20 * time.Second // what has ended must stay so
+	userRetryInterval = time.Second
+	maxSubmitRetries  = 30
+)
+
+// cancellation is how far a user came with the cancellation of a job.
+type cancellation struct {
+	requested   bool
+	confirmedAt time.Duration // 0: not confirmed
 }
 
-// apiAddress is where a controller serves users and workers.
-func (c *Cluster) apiAddress(name string) string { return c.Controllers[name].settings.API }
+func (c cancellation) isConfirmed() bool { return c.confirmedAt > 0 }
 
+// requestAsUser makes one request of a user to a random controller.
+func (c *Cluster) requestAsUser(method, path string, in, out any, timeout time.Duration, done func(status int)) {
+	c.request(c.address(userHost), c.randomController(), method, path, in, out, timeout, done)
+}
+
+// randomController is the address of one of the controllers that run; n0's if none does.
 func (c *Cluster) randomController() string {
-	n := c.runningControllers()
-	if len(n) == 0 {
-		return c.apiAddress("n0")
+	running := c.runningControllers()
+	if len(running) == 0 {
+		return c.apiAddress(c.controllerNames[0])
 	}
-	return c.apiAddress(n[c.random.IntN(len(n))])
+	return c.apiAddress(running[c.random.IntN(len(running))])
 }
 
-// Submit submits at a time given in seconds, repeats until it is accepted,
-// and then polls until the job is over.
+// Submit submits a job at a time given in seconds, repeats that until it is accepted,
+// and polls it from then on.
 func (c *Cluster) Submit(at float64, submission *protocol.Submission) {
 	c.At(at, func() { c.trySubmit(submission, 0) })
 }
 
+// trySubmit submits a job once more after a number of tries.
 func (c *Cluster) trySubmit(submission *protocol.Submission, tries int) {
 	id := *submission.ID
 	c.histories.recordSubmission(id, c.now)
-	if job, err := submission.Validate(); err == nil && c.jobs[id] == nil {
-		c.jobs[id], c.submissions[id] = job, submission
-		c.histories.job(id).maxConcurrent = maxConcurrentTasks(job, c.Settings.Team(job.Team))
-	}
-	c.request(c.address("user"), c.randomController(), "POST", "/v2/runs", submission, nil, 5*time.Second, func(status int) {
+	c.rememberJob(submission)
+	c.requestAsUser(http.MethodPost, pathJobs, submission, nil, userTimeout, func(status int) {
 		switch status {
-		case 200, 201:
-			c.Trace("%s accepted", id)
-			c.histories.recordAnswer(id, c.now)
-			if c.reportedStatus[id] == "" { // else a cancellation's answer came first
-				c.reportedStatus[id] = protocol.JobPending
-				c.notifyStatus(id, protocol.JobPending)
-			}
-			c.pollStatus(id)
-		case 400, 422:
+		case http.StatusOK, http.StatusCreated:
+			c.handleAcceptance(id)
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			c.Trace("%s refused with %d", id, status)
 		default:
-			if c.State.Unavailable {
-				c.failedSubmissions[id]++
-			}
-			if tries == 30 { // gives up: nobody has told them of anything
-				return
-			}
-			c.after(time.Second, func() { c.trySubmit(submission, tries+1) })
+			c.retrySubmit(submission, tries)
 		}
 	})
 }
 
-// TraceRequest makes one request and traces its status.
+// rememberJob notes what a user submits, if it is valid and new.
+func (c *Cluster) rememberJob(submission *protocol.Submission) {
+	id := *submission.ID
+	job, err := submission.Validate()
+	if err != nil || c.jobs[id] != nil {
+		return
+	}
+	c.jobs[id] = job
+	c.submissions[id] = submission
+	c.histories.job(id).maxConcurrent = maxConcurrentTasks(job, c.Settings.Team(job.Team))
+}
+
+// handleAcceptance notes that a job is accepted and polls it. The answer to a
+// cancellation may have come before that of the submission.
+func (c *Cluster) handleAcceptance(id string) {
+	c.Trace("%s accepted", id)
+	c.histories.recordAnswer(id, c.now)
+	if c.reportedStatus[id] == "" {
+		c.reportedStatus[id] = protocol.JobPending
+		c.notifyStatus(id, protocol.JobPending)
+	}
+	c.pollStatus(id)
+}
+
+// retrySubmit submits again later, up to a number of times.
+func (c *Cluster) retrySubmit(submission *protocol.Submission, tries int) {
+	if c.State.Unavailable {
+		c.failedSubmissions[*submission.ID]++
+	}
+	if tries == maxSubmitRetries {
+		return
+	}
+	c.after(userRetryInterval, func() { c.trySubmit(submission, tries+1) })
+}
+
+// TraceRequest makes one request of a user at a time given in seconds, and traces its
+// status.
 func (c *Cluster) TraceRequest(at float64, method, path string, body any) {
 	c.At(at, func() {
-		c.request(c.address("user"), c.randomController(), method, path, body, nil, 5*time.Second, func(status int) {
+		c.requestAsUser(method, path, body, nil, userTimeout, func(status int) {
 			c.Trace("%s %s -> %d", method, path, status)
 		})
 	})
 }
 
+// pollStatus asks for a job's status, now and regularly.
 func (c *Cluster) pollStatus(id string) {
-	out, asked := &protocol.JobState{}, c.now
-	c.request(c.address("user"), c.randomController(), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
+	state, askedAt := &protocol.JobState{}, c.now
+	c.requestAsUser(http.MethodGet, pathJob+id, nil, state, pollTimeout, func(status int) {
 		switch {
-		case status == 200 && c.endReportedAt[id] > asked && out.Status != c.reportedStatus[id]:
-			// Answered before the other, for all that anyone can tell: they crossed.
-		case status == 404:
-			c.reportViolation("forgotten: %s gets 404", id)
-		case status == 200:
+		case status == http.StatusOK && c.endReportedAt[id] > askedAt && state.Status != c.reportedStatus[id]:
+			// The end was told while this answer was on its way: they crossed.
+		case status == http.StatusNotFound:
+			c.reportViolation(RuleNotForgotten, "%s gets 404", id)
+		case status == http.StatusOK:
 			c.histories.recordAnswer(id, c.now)
-			c.recordStatus(id, out.Status)
+			c.recordStatus(id, state.Status)
 		}
-		if was := c.reportedStatus[id]; was != protocol.JobDone && was != protocol.JobCancelled {
-			c.after(2*time.Second, func() { c.pollStatus(id) })
-		} else {
-			c.after(20*time.Second, func() { c.pollStatus(id) }) // it must stay so
+		interval := pollInterval
+		if hasEnded(c.reportedStatus[id]) {
+			interval = endedPollInterval
 		}
+		c.after(interval, func() { c.pollStatus(id) })
 	})
 }
 
+// hasEnded tells whether a status of a job is final.
+func hasEnded(status protocol.JobStatus) bool {
+	return status == protocol.JobDone || status == protocol.JobCancelled
+}
+
+// recordStatus notes what a user was told of a job, and checks that it may be so.
 func (c *Cluster) recordStatus(id string, status protocol.JobStatus) {
-	was := c.reportedStatus[id]
-	if cancel := time.Duration(c.Settings.Deployment.Workers.Cancel * float64(time.Second)); (status == protocol.JobPending || status == protocol.JobRunning) && c.hasCancelledDependency(id, cancel) {
-		c.reportViolation("orphaned: %s is called %s", id, status)
-	}
-	if (was == protocol.JobDone || was == protocol.JobCancelled) && status != was {
-		c.reportViolation("went_back: %s was %s, is %s", id, was, status)
-	}
-	if status == was {
+	before := c.reportedStatus[id]
+	c.checkNotOrphaned(id, status)
+	c.checkEndIsFinal(id, before, status)
+	if status == before {
 		return
 	}
-	if status == protocol.JobDone {
-		for i := 0; i < c.jobs[id].Tasks; i++ {
-			if !c.completedTasks[agent.TaskID{Job: id, Index: i}] {
-				c.reportViolation("not_done: %s/%d", id, i)
-			}
-		}
-	}
-	if status == protocol.JobCancelled && c.cancelledAt[id] == 0 && !c.hasCancelledDependency(id, 0) {
-		c.reportViolation("went_back: %s was not cancelled", id)
+	switch status {
+	case protocol.JobDone:
+		c.checkAllTasksCompleted(id)
+	case protocol.JobCancelled:
+		c.checkCancellationRequested(id)
 	}
 	c.reportedStatus[id] = status
-	if status == protocol.JobDone || status == protocol.JobCancelled {
+	if hasEnded(status) {
 		c.endReportedAt[id] = c.now
 	}
 	if status != protocol.JobPending {
@@ -154,45 +170,34 @@
 	}
 }
 
-// Cancel cancels at a time given in seconds.
+// Cancel cancels a job at a time given in seconds, and repeats that until it is answered.
 func (c *Cluster) Cancel(at float64, id string) { c.At(at, func() { c.requestCancellation(id) }) }
 
 func (c *Cluster) requestCancellation(id string) {
-	if c.cancelledAt[id] == 0 {
-		c.cancelledAt[id] = 1 // asked for
-	}
-	out := &protocol.JobState{}
-	c.request(c.address("user"), c.randomController(), "POST", "/v2/runs/"+id+"/abort", nil, out, 5*time.Second, func(status int) {
-		if status != 200 {
-			c.after(time.Second, func() { c.requestCancellation(id) })
+	c.noteCancellationRequest(id)
+	state := &protocol.JobState{}
+	c.requestAsUser(http.MethodPost, pathJob+id+cancelSuffix, nil, state, userTimeout, func(status int) {
+		if status != http.StatusOK {
+			c.after(userRetryInterval, func() { c.requestCancellation(id) })
 			return
 		}
-		if out.Status == protocol.JobCancelled && c.cancelledAt[id] <= 1 {
-			c.recordCancellation(id)
-		}
-		c.recordStatus(id, out.Status)
+		c.recordCancellationAnswer(id, state.Status)
 	})
 }
 
-// recordCancellation: its user was told so now.
-func (c *Cluster) recordCancellation(id string) {
-	c.cancelledAt[id] = c.now
-	var look func()
-	look = func() {
-		if len(c.MachinesRunning(id)) > 0 {
-			c.histories.job(id).presentAfterCancellation = c.now - c.cancelledAt[id]
-			c.after(200*time.Millisecond, look)
-		}
+func (c *Cluster) noteCancellationRequest(id string) {
+	requested := c.cancellations[id]
+	requested.requested = true
+	c.cancellations[id] = requested
+}
+
+// recordCancellationAnswer notes what a user was told of a job that they cancelled.
+func (c *Cluster) recordCancellationAnswer(id string, status protocol.JobStatus) {
+	if status == protocol.JobCancelled && !c.cancellations[id].isConfirmed() {
+		c.recordCancellation(id)
 	}
-	look()
-	c.after(time.Duration(c.Settings.Deployment.Workers.Cancel*float64(time.Second)), func() {
-		c.forEachAttempt(func(machine *Machine, t *attempt) {
-			if _, o := machine.cluster.origin(t.TaskID); o.Job == id && t.present {
-				c.reportViolation("ran_cancelled: %s is still on %s", t, machine.id)
-			}
-		})
-	})
+	c.recordStatus(id, status)
 }
 
-// ReportedStatus is what a job's user was told last.
+// ReportedStatus is what a job's user was told last; "": that it is accepted is not told.
 func (c *Cluster) ReportedStatus(id string) protocol.JobStatus { return c.reportedStatus[id] }
--- a/internal/simulator/vouching_test.go
+++ b/internal/simulator/vouching_test.go
@@ -31,7 +31,7 @@
 		{"a controller ends in it and is back at once", true, func(cluster *Cluster) {
 			cluster.restartQuickly(30, 0.3, func() *ControllerProcess { return cluster.Controllers["n2"] })
 		}, true},
-		{"two controllers do not reach each other", true, func(cluster *Cluster) { cluster.cutLinksFor(25, 90, [][2]string{{"n0", "n1"}}) }, true},
+		{"two controllers do not reach each other", true, func(cluster *Cluster) { cluster.cutLinksFor(25, 90, []link{{"n0", "n1"}}) }, true},
 		{"a controller stands still for longer than a grant", true, func(cluster *Cluster) {
 			cluster.At(30, func() { cluster.Controllers["n1"].Pause(18*time.Second, false) })
 		}, true},
@@ -42,9 +42,9 @@
 			cluster.enableVouching()
 		}
 		addMachines(cluster, 9, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 100, nil))
-		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 100, nil))
-		cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 3, 2, 100, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 100))
+		cluster.Submit(6, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 100))
+		cluster.Submit(7, NewSubmission("wk-3", protocol.ShapeGang, 3, 2, 100))
 		cluster.DropCancellationNotices = true
 		cluster.At(19.8, func() { cluster.requestCancellation("wk-2") })
 		cluster.At(20, func() { cluster.State.StartOutage(60 * time.Second) })
@@ -76,7 +76,7 @@
 		{"by a controller that is back at once", func(cluster *Cluster, alone string, others []string) {
 			cluster.At(19.2, func() { cluster.SetRefusal(alone, "state", true) })
 			cluster.At(19.4, func() {
-				cluster.repeatRequest(others[0], "cancel", NewSubmission("wk-1", protocol.ShapeArray, 18, 1, 130, nil))
+				cluster.repeatRequest(others[0], cancelAgain, NewSubmission("wk-1", protocol.ShapeArray, 18, 1, 130))
 			})
 			cluster.crashFor(19.6, 19.8, others...) // they read what is stored before the outage
 			cluster.At(20.6, func() { cluster.State.StartOutage(80 * time.Second) })
@@ -104,7 +104,7 @@
 			cluster.ServeAPI()
 			cluster.enableVouching()
 			machines := addMachines(cluster, 9, 0)
-			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 18, 1, 130, nil))
+			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 18, 1, 130))
 			cluster.DropCancellationNotices = true
 			alone := ""
 			cluster.At(12, func() {
@@ -125,7 +125,7 @@
 				}
 				test.do(cluster, alone, others)
 			})
-			cluster.Submit(115, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 10, nil))
+			cluster.Submit(115, NewSubmission("wk-2", protocol.ShapeArray, 12, 1, 10))
 			for range 4 { // room for what is begun again
 				cluster.At(55, func() { cluster.AddMachine("small", "a", false) })
 			}
--- a/internal/simulator/waiting_jobs.go
+++ b/internal/simulator/waiting_jobs.go
@@ -8,16 +8,19 @@
 	"curlewspool/internal/shard"
 )
 
-// monitorWaitingJobs follows, once all troubles are over, which jobs wait beside room for them.
+// waitingCheckInterval is how often jobs are looked at that may wait without need.
+const waitingCheckInterval = 2 * time.Second
+
+// monitorWaitingJobs follows, once all faults are over, which jobs wait though there is
+// room for them.
 func (c *Cluster) monitorWaitingJobs() {
-	c.after(2*time.Second, c.monitorWaitingJobs)
+	c.after(waitingCheckInterval, c.monitorWaitingJobs)
 	if c.now < c.histories.FaultsOver {
 		return
 	}
 	for id, job := range c.jobs {
 		history := c.histories.job(id)
-		was := c.reportedStatus[id]
-		if was == "" || was == protocol.JobDone || was == protocol.JobCancelled || c.cancelledAt[id] > 0 || c.FailingJobs[id] || c.hasOpenDependencies(job) || !c.hasCapacityFor(job) {
+		if !c.mayStart(id, job) || !c.hasCapacityFor(job) {
 			history.waitingSince = 0
 			continue
 		}
@@ -28,71 +31,131 @@
 	}
 }
 
-// hasCapacityFor tells whether some of a job waits, of a gang all, though machines that fit
-// have room for one more task, for a gang's all, and its team is under its limit.
-func (c *Cluster) hasCapacityFor(job *protocol.Job) bool {
-	on, there, done := 0, map[string]int{}, 0
-	var cores, gpus float64
-	free := map[*Machine]*protocol.MachineType{}
+// mayStart tells whether nothing but a lack of machines keeps a job's tasks from
+// starting.
+func (c *Cluster) mayStart(id string, job *protocol.Job) bool {
+	status := c.reportedStatus[id]
+	isAlive := status != "" && !hasEnded(status) && !c.cancellations[id].requested
+	return isAlive && !c.FailingJobs[id] && !c.hasOpenDependencies(job)
+}
+
+// hasOpenDependencies tells whether something that a job depends on is not done.
+func (c *Cluster) hasOpenDependencies(job *protocol.Job) bool {
+	for _, id := range job.Dependencies {
+		dependency := c.jobs[id]
+		if dependency == nil || len(c.histories.job(id).completedTasks) < dependency.Tasks {
+			return true
+		}
+	}
+	return false
+}
+
+// freeMachine is a machine that takes tasks, and what is free of it.
+type freeMachine struct {
+	machine *Machine
+	free    protocol.MachineType
+}
+
+// jobUsage is what there is of a job and its team on a cluster's machines.
+type jobUsage struct {
+	tasks       int // of the job that have not ended
+	tasksByZone map[string]int
+	teamCores   float64
+	teamGPUs    float64
+	machines    []freeMachine
+}
+
+// usageOf looks at all machines for a job.
+func (c *Cluster) usageOf(job *protocol.Job) *jobUsage {
+	usage := &jobUsage{tasksByZone: map[string]int{}}
 	for _, id := range c.machineIDs() {
 		machine := c.Machines[id]
-		left := machine.machineType
-		for _, t := range machine.attempts {
-			other := c.jobByID(t.Job)
-			if t.state == protocol.TaskEnded || other == nil {
-				continue
-			}
-			left.Cores, left.GPUs, left.MemoryGB = left.Cores-other.Cores, left.GPUs-other.GPUs, left.MemoryGB-other.MemoryGB
-			if other.Team == job.Team {
-				cores, gpus = cores+other.Cores, gpus+other.GPUs
-			}
-			if t.Job == job.ID {
-				on++
-				there[machine.zone]++
-			}
-		}
-		if machine.running && !machine.deleted && !machine.Hung && !machine.Faulty && !machine.evictionAnnounced && !c.inboundPartitioned[machine.address] {
-			free[machine] = &left
+		free := usage.addMachine(machine, job)
+		if machine.takesTasks() {
+			usage.machines = append(usage.machines, freeMachine{machine, free})
 		}
 	}
-	for i := range job.Tasks {
-		if c.completedTasks[agent.TaskID{Job: job.ID, Index: i}] {
-			done++
+	return usage
+}
+
+// addMachine counts what of a job and its team is on a machine, and returns what is free
+// of it.
+func (u *jobUsage) addMachine(machine *Machine, job *protocol.Job) (free protocol.MachineType) {
+	free = machine.machineType
+	for _, attempt := range machine.attempts {
+		other := machine.cluster.jobByID(attempt.Job)
+		if attempt.state == protocol.TaskEnded || other == nil {
+			continue
+		}
+		free.Cores -= other.Cores
+		free.GPUs -= other.GPUs
+		free.MemoryGB -= other.MemoryGB
+		if other.Team == job.Team {
+			u.teamCores += other.Cores
+			u.teamGPUs += other.GPUs
+		}
+		if attempt.Job == job.ID {
+			u.tasks++
+			u.tasksByZone[machine.zone]++
 		}
 	}
-	need := 1.0
+	return free
+}
+
+// takesTasks tells whether a controller can be expected to place tasks on a machine.
+func (m *Machine) takesTasks() bool {
+	isUp := m.running && !m.deleted
+	isHealthy := !m.Hung && !m.Faulty && !m.evictionNotified
+	return isUp && isHealthy && !m.cluster.inboundPartitioned[m.address]
+}
+
+// hasCapacityFor tells whether some of a job waits, of a gang all, though machines that
+// fit have room for one more task, for a gang's all, and its team is under its limit.
+func (c *Cluster) hasCapacityFor(job *protocol.Job) bool {
+	usage := c.usageOf(job)
+	needed := 1
 	if job.Shape == protocol.ShapeGang {
-		need = float64(job.Tasks)
-		if on > 0 {
-			return false // it comes to be there, or goes
+		needed = job.Tasks
+		if usage.tasks > 0 {
+			return false // it is starting, or being stopped
 		}
 	}
-	team := c.Settings.Team(job.Team)
-	if on+done >= job.Tasks || team.CoresMax > 0 && cores+need*job.Cores > team.CoresMax || team.GPUsMax > 0 && gpus+need*job.GPUs > team.GPUsMax {
+	if usage.tasks+c.completedCount(job) >= job.Tasks || c.exceedsTeamLimit(job, usage, needed) {
 		return false
 	}
-	zones := map[string]int{}
-	for machine, left := range free {
-		n := 0
-		if shard.CanRunOn(job, &machine.machineType, machine.zone, machine.spot) {
-			n = max(0, left.TasksThatFit(job, int(need)))
-		}
-		switch {
-		case job.SingleZone && on > 0 && there[machine.zone] == 0:
-		case job.SpreadZones && there[machine.zone] >= shard.MaxPerZone(job):
-		default:
-			zones[machine.zone] += n
+	return shard.MaxPlaceable(job, usage.roomByZone(job, needed)) >= needed
+}
+
+// completedCount is how many of a job's tasks are done.
+func (c *Cluster) completedCount(job *protocol.Job) (count int) {
+	for i := range job.Tasks {
+		if c.completedTasks[agent.TaskID{Job: job.ID, Index: i}] {
+			count++
 		}
 	}
-	return float64(shard.MaxPlaceable(job, zones)) >= need
+	return count
 }
 
-// hasOpenDependencies tells whether something that a job needs is not done.
-func (c *Cluster) hasOpenDependencies(job *protocol.Job) bool {
-	for _, need := range job.Dependencies {
-		if n := c.jobs[need]; n == nil || len(c.histories.job(need).completedTasks) < n.Tasks {
-			return true
+// exceedsTeamLimit tells whether a number of a job's tasks more is above its team's limit.
+func (c *Cluster) exceedsTeamLimit(job *protocol.Job, usage *jobUsage, tasks int) bool {
+	team := c.Settings.Team(job.Team)
+	exceedsCores := team.CoresMax > 0 && usage.teamCores+float64(tasks)*job.Cores > team.CoresMax
+	exceedsGPUs := team.GPUsMax > 0 && usage.teamGPUs+float64(tasks)*job.GPUs > team.GPUsMax
+	return exceedsCores || exceedsGPUs
+}
+
+// roomByZone is how many of a job's tasks, up to a number by machine, there is room for
+// in each zone that the job may use.
+func (u *jobUsage) roomByZone(job *protocol.Job, needed int) map[string]int {
+	room := map[string]int{}
+	for i := range u.machines {
+		machine := u.machines[i].machine
+		switch tasks := u.tasksByZone[machine.zone]; {
+		case job.SingleZone && u.tasks > 0 && tasks == 0:
+		case job.SpreadZones && tasks >= shard.MaxPerZone(job):
+		case shard.CanRunOn(job, &machine.machineType, machine.zone, machine.spot):
+			room[machine.zone] += max(0, u.machines[i].free.TasksThatFit(job, needed))
 		}
 	}
-	return false
+	return room
 }
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -15,14 +15,14 @@
 		for i := 0; i < 9; i++ {
 			machines = append(machines, cluster.AddMachine("small", "b", false))
 		}
-		pairs := [][2]string{{"n1", "n0"}, {"n1", "n2"}}
+		pairs := []link{{"n1", "n0"}, {"n1", "n2"}}
 		for _, machine := range machines {
 			for _, name := range []string{"n0", "n2"} {
-				pairs = append(pairs, [2]string{machine.Address(), name}, [2]string{machine.Address(), "api-" + name})
+				pairs = append(pairs, link{machine.Address(), name}, link{machine.Address(), "api-" + name})
 			}
 		}
-		cluster.Submit(6, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40, nil))
-		cluster.Submit(30, NewSubmission("wk-2", protocol.ShapeArray, 4, 1, 5, nil))
+		cluster.Submit(6, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40))
+		cluster.Submit(30, NewSubmission("wk-2", protocol.ShapeArray, 4, 1, 5))
 		cluster.cutLinksFor(20, 50, pairs)
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
@@ -39,8 +39,8 @@
 func TestZonePartitionedFromEverything(t *testing.T) {
 	cluster := playTraced(t, "zone-cut-off", 23, 200, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
-		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25, nil))
-		cluster.Submit(30, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5, nil))
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
+		cluster.Submit(30, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 		cluster.At(12, func() {
 			heal := cluster.PartitionZone("b")
 			cluster.At(132, heal)
