--- /dev/null
+++ b/internal/simulator/delayed_writes_test.go
@@ -0,0 +1,267 @@
+package simulator
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// writes are the kinds of transactions, told by what they change.
+var writes = []struct {
+	name string
+	is   func(o []protocol.Mutation) bool
+}{
+
+	{"an acceptance or a move", func(o []protocol.Mutation) bool { return puts(o, "a/j/") }},
+	{"an end", func(o []protocol.Mutation) bool { return puts(o, "d/") }},
+	{"progress", func(o []protocol.Mutation) bool { return puts(o, "a/p/") }},
+	{"progress that is removed", func(o []protocol.Mutation) bool { return deletes(o, "a/p/") }},
+	{"a roster", func(o []protocol.Mutation) bool { return puts(o, "a/m/") }},
+	{"a claim and its token", func(o []protocol.Mutation) bool { return puts(o, "a/o/") && puts(o, "a/c/") }},
+	{"a release", func(o []protocol.Mutation) bool { return deletes(o, "a/o/") }},
+	{"a sign of life", func(o []protocol.Mutation) bool { return puts(o, "a/h/") }},
+}
+
+func puts(ops []protocol.Mutation, under string) bool {
+	return slices.ContainsFunc(ops, func(mutation protocol.Mutation) bool { return strings.HasPrefix(mutation.Put, under) })
+}
+
+func deletes(ops []protocol.Mutation, under string) bool {
+	return slices.ContainsFunc(ops, func(mutation protocol.Mutation) bool { return strings.HasPrefix(mutation.Delete, under) })
+}
+
+// Each kind of write late by 2 to 12 s, alone and in pairs: half of those that are made
+// in 30 s get no answer, while parts change hands by a refusal, a crash and a release,
+// machines are rented and lent, and jobs are accepted, moved, cancelled and done.
+func TestDelayedWrites(t *testing.T) {
+	if testing.Short() {
+		t.Skip("some seconds")
+	}
+	seen := map[string]int{}
+	for i := range writes {
+		for k := i; k < len(writes); k++ {
+			name := writes[i].name + " and " + writes[k].name
+			cluster := NewCluster(uint64(900 + 10*i + k))
+			cluster.ServeAPI()
+			machines := submitStandardLoad(cluster)
+			cluster.Cloud.Capacity[Offer{"small", "a", false}] = 3
+			cluster.DelayedRequests = append(cluster.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
+				var x protocol.Transaction
+				if path != "/multi" || cluster.now < 7*time.Second || cluster.now > 37*time.Second || protocol.Decode(body, &x) != nil {
+					return 0, false
+				}
+				for _, kind := range []int{i, k} {
+					if writes[kind].is(x.Mutations) && cluster.random.IntN(2) == 0 {
+						seen[writes[kind].name]++
+						return time.Duration((2 + 10*cluster.random.Float64()) * float64(time.Second)), true
+					}
+				}
+				return 0, false
+			})
+			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 12, 1, 8))
+			cluster.Submit(10, NewSubmission("wk-5", protocol.ShapeGang, 5, 4, 6)) // larger than a part
+			cluster.Submit(12, NewSubmission("wk-6", protocol.ShapeArray, 30, 1, 6))
+			cluster.Submit(15, NewSubmission("wk-7", protocol.ShapeArray, 6, 1, 40))
+			cluster.Cancel(20, "wk-7")
+			cluster.cutLinksFor(9, 30, []link{{"n0", "n2"}}) // signs of life
+			cluster.At(11, func() { cluster.SetRefusal("n1", "state", true) })
+			cluster.At(17, func() { cluster.SetRefusal("n1", "state", false) })
+			cluster.At(14, func() { machines[5].Die() })
+			cluster.restartQuickly(22, 0.5, cluster.nonLeaderOwner)
+			cluster.restartQuickly(28, 4, cluster.leaderProcess)
+			cluster.Start()
+			cluster.Run(200)
+			for _, violation := range cluster.Violations {
+				t.Errorf("%s: rule broken: %s", name, violation)
+			}
+			for _, id := range []string{"wk-1", "wk-2", "wk-4", "wk-5", "wk-6"} {
+				if got := cluster.ReportedStatus(id); got != protocol.JobDone {
+					t.Errorf("%s: %s is %q", name, id, got)
+				}
+			}
+			for _, id := range []string{"wk-3", "wk-7"} {
+				if got := cluster.ReportedStatus(id); got != protocol.JobCancelled {
+					t.Errorf("%s: %s is %q, was to be cancelled", name, id, got)
+				}
+			}
+		}
+	}
+	for _, kind := range writes {
+		if seen[kind.name] == 0 {
+			t.Errorf("no write was late that is %s", kind.name)
+		}
+	}
+	t.Logf("late: %v", seen)
+}
+
+// A chunk's move gets no answer and is carried out seconds later. Nothing of the chunk may
+// start where it was until it is known what became of the move: given up as one that was
+// not made, it came true after its tasks had started there, and they started again in the
+// other part.
+func TestDelayedChunkMoves(t *testing.T) {
+	met := 0
+	for seed := uint64(1420); seed < 1432; seed++ {
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 9, 0)
+		cluster.makePartsUneven()
+		moved := cluster.delayWritesFor(6, 60, 0.8, 2, 12, func(o []protocol.Mutation) bool {
+			return len(o) > 0 && strings.HasPrefix(o[0].Put, shard.JobKey("")) && cluster.State.entries[o[0].Put].Revision > 0
+		})
+		cluster.Start()
+		cluster.Run(150)
+		met += *moved
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
+		}
+		for id := range cluster.jobs {
+			expectStatus(t, cluster, protocol.JobDone, id)
+		}
+	}
+	if met < 20 {
+		t.Errorf("%d moves were late, too few to tell", met)
+	}
+}
+
+// The first record of where a job may be gets no answer, a copy of it does, and newer ones
+// follow that name a machine which has come up since; then the first is carried out after
+// all, the owner ends, and that machine reaches nobody while others have room. The older
+// record must not take the newer one's place: what runs there would be started again.
+func TestDelayedPlacementRecords(t *testing.T) {
+	met := 0
+	for seed := uint64(1440); seed < 1446; seed++ {
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 3, 0)
+		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 14, 1, 60))
+		late := cluster.delayWritesFor(5, 6.5, 1, 9, 9, func(o []protocol.Mutation) bool { return puts(o, "a/p/wk-1") })
+		var machine *Machine
+		cluster.At(7, func() { machine = cluster.AddMachine("small", "a", false) })
+		cluster.At(16.5, func() {
+			if len(machine.attempts) == 0 {
+				t.Fatalf("seed %d: nothing runs on the new machine", seed)
+			}
+			cluster.Trace("%s is out of reach", machine.id)
+			for _, pair := range cluster.machineLinks(machine) {
+				cluster.cutLink(pair.from, pair.to)
+			}
+			for _, name := range cluster.controllerNames {
+				cluster.Controllers[name].Crash()
+				cluster.after(time.Second, cluster.Controllers[name].Start)
+			}
+			for range 6 { // room in each part
+				cluster.AddMachine("small", "a", false)
+			}
+			cluster.after(40*time.Second, func() {
+				for _, pair := range cluster.machineLinks(machine) {
+					cluster.healLink(pair.from, pair.to)
+				}
+			})
+		})
+		cluster.Start()
+		cluster.Run(600)
+		met += *late
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
+		}
+		expectStatus(t, cluster, protocol.JobDone, "wk-1")
+	}
+	if met == 0 {
+		t.Error("no record was late")
+	}
+}
+
+// A cancellation meets the end of the job's last task, gets no answer and is carried out
+// seconds later, when users have been told that the job is done: it stays so.
+func TestDelayedCancellations(t *testing.T) {
+	ends := map[protocol.JobStatus]int{}
+	for i := range 40 {
+		cluster := NewCluster(uint64(1460 + i))
+		cluster.ServeAPI()
+		addMachines(cluster, 3, 0)
+		submission := NewSubmission("wk-1", protocol.ShapeArray, 2, 1, 5)
+		cluster.Submit(5, submission)
+		late := cluster.delayWritesFor(6, 40, 1, 1, 4, func(o []protocol.Mutation) bool {
+			var f shard.FinalRecord
+			return puts(o, "d/") && protocol.Decode(o[0].Value, &f) == nil && f.Status == protocol.JobCancelled
+		})
+		cluster.OnJobCompleted = func(string) { // while its end is being stored, and before and after
+			cluster.after(time.Duration(i)*2*time.Millisecond, func() { cluster.repeatRequest(cluster.controllerNames[i%3], cancelAgain, submission) })
+		}
+		for k := range 40 {
+			cluster.At(12+float64(k)/4, func() { cluster.repeatRequest(cluster.controllerNames[k%3], pollAgain, submission) })
+		}
+		cluster.Start()
+		cluster.Run(40)
+		for _, violation := range cluster.Violations {
+			t.Errorf("%d ms after the end: rule broken: %s", 2*i, violation)
+		}
+		if *late > 0 {
+			ends[cluster.ReportedStatus("wk-1")]++
+		}
+	}
+	if ends[protocol.JobDone] < 3 {
+		t.Errorf("ends %v of cancellations that were late: too few to tell", ends)
+	}
+}
+
+// A chunk moves to another part, the state service carries that out at once and answers
+// late, and in between the job is called off through another controller. The mover, who
+// had been told of the deletion, took the answer for news: the job lived on in its cache
+// for good, was asked for and told as pending, and was started again.
+func TestCancellationDuringChunkMove(t *testing.T) {
+	met := 0
+	for seed := uint64(1400); seed < 1412; seed++ {
+		cluster := NewCluster(seed)
+		cluster.ServeAPI()
+		addMachines(cluster, 9, 0)
+		cluster.State.ResponseDelay = func(path string) time.Duration {
+			if path == "/multi" {
+				return 700 * time.Millisecond
+			}
+			return 0
+		}
+		cluster.DropCancellationNotices = seed%2 == 1 // the word of the cancellation covers most of it
+		cluster.makePartsUneven()
+		cluster.onChunkMove(6, func(id string) {
+			met++
+			cluster.requestCancellation(id)
+		})
+		cluster.Start()
+		cluster.Run(120)
+		for _, violation := range cluster.Violations {
+			t.Errorf("seed %d: rule broken: %s", seed, violation)
+		}
+		for id, cancelled := range cluster.cancellations {
+			if history := cluster.histories.job(id); cancelled.isConfirmed() && history.startsAfterCancellation > 0 {
+				t.Errorf("seed %d: %d tasks of %s began after its cancellation", seed, history.startsAfterCancellation, id)
+			}
+		}
+		for _, x := range cluster.staleCaches() {
+			t.Errorf("seed %d: %s", seed, x)
+		}
+	}
+	if met < 10 {
+		t.Errorf("%d chunks moved and were called off, too few to tell", met)
+	}
+}
+
+// An owner is cut from the state service; what it sent arrives after another
+// has taken its part. Its late writes must fail.
+func TestLateTransactions(t *testing.T) {
+	playTraced(t, "late-transactions", 6, 150, func(cluster *Cluster) {
+		addMachines(cluster, 6, 0)
+		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
+			cluster.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14))
+		}
+		cluster.At(13, func() { cluster.CutLink("n0", "state") })
+		cluster.Cancel(15, "wk-2")
+		cluster.At(45, func() { cluster.HealLink("n0", "state") })
+		cluster.At(70, func() { cluster.CutLink("n1", "state") })
+		cluster.At(95, func() { cluster.HealLink("n1", "state") })
+	})
+}
--- /dev/null
+++ b/internal/simulator/state_service.go
@@ -0,0 +1,189 @@
+package simulator
+
+import (
+	"maps"
+	"net/http"
+	"net/url"
+	"slices"
+	"sort"
+	"strconv"
+	"strings"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// Paths of the state service.
+const (
+	pathTransactions = "/multi"
+	pathLeases       = "/grants"
+	pathEntries      = "/store"
+	pathEntry        = "/store/"
+	renewSuffix      = "/touch"
+)
+
+// StateService simulates the state service: a key-value store with revisions,
+// conditional transactions, leases and watches, written from its protocol alone.
+type StateService struct {
+	Address string
+	// Unavailable: it answers 503 to everything.
+	Unavailable bool
+	// ResponseDelay is how late the answer to a request for a path leaves; nil: at once.
+	ResponseDelay func(path string) time.Duration
+	// Writes counts the mutations that were made.
+	Writes int
+	// OversizedRequests are the values and transactions that were refused as too large.
+	OversizedRequests []string
+
+	cluster           *Cluster
+	revision          uint64
+	entries           map[string]protocol.Entry
+	changeLog         []protocol.Change
+	compactedRevision uint64 // changes up to this one are not kept any more
+	leases            map[uint64]*lease
+	lastLeaseID       uint64
+	pendingWatches    []*watch
+
+	requestLimit       rateLimit
+	writeLimit         rateLimit
+	maxValueKB         float64
+	maxTransactionSize int // in mutations
+}
+
+func newStateService(cluster *Cluster) *StateService {
+	limits := &cluster.Settings.Deployment.State
+	state := &StateService{
+		cluster:            cluster,
+		entries:            map[string]protocol.Entry{},
+		leases:             map[uint64]*lease{},
+		requestLimit:       newRateLimit(limits.RPS, limits.RPS),
+		writeLimit:         newRateLimit(limits.WriteRPS, limits.WriteRPS),
+		maxValueKB:         limits.ValueKB,
+		maxTransactionSize: limits.TxnOps,
+	}
+	state.Address = cluster.listen(cluster.address(stateHost), state.serve)
+	return state
+}
+
+// LowerLimits lowers the service's limits from now on, without notice. What is stored
+// stays.
+func (s *StateService) LowerLimits(valueKB float64, transactionSize int, writesPerSecond float64) {
+	s.cluster.Trace("limits of the state service: values of %v KB, %d changes a transaction, %v a second", valueKB, transactionSize, writesPerSecond)
+	s.maxValueKB = valueKB
+	s.maxTransactionSize = transactionSize
+	s.writeLimit.perSecond = writesPerSecond
+	s.writeLimit.burst = writesPerSecond
+}
+
+// StartOutage makes the service unavailable for a while. After it every lease has its
+// full time again.
+func (s *StateService) StartOutage(duration time.Duration) {
+	s.cluster.Trace("state service down")
+	s.setUnavailable(true)
+	s.cluster.after(duration, func() {
+		s.cluster.Trace("state service back")
+		s.setUnavailable(false)
+		for _, id := range slices.Sorted(maps.Keys(s.leases)) {
+			s.renewLease(id)
+		}
+		s.notifyWatches()
+	})
+}
+
+func (s *StateService) setUnavailable(unavailable bool) {
+	s.Unavailable = unavailable
+	s.cluster.outages[s.Address] = unavailable
+}
+
+// replyFunc answers a request with a status and a body; nil: with none.
+type replyFunc = func(status int, body any)
+
+func (s *StateService) serve(method, path string, body []byte, reply replyFunc) {
+	if s.ResponseDelay != nil {
+		reply = s.delayed(reply, s.ResponseDelay(path))
+	}
+	if s.Unavailable {
+		reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "trouble"})
+		return
+	}
+	if !s.requestLimit.take(s.cluster.now, 1) {
+		reply(http.StatusTooManyRequests, nil)
+		return
+	}
+	target, err := url.Parse(path)
+	if err != nil {
+		reply(http.StatusBadRequest, nil)
+		return
+	}
+	s.route(method, target, body, reply)
+}
+
+func (s *StateService) delayed(reply replyFunc, delay time.Duration) replyFunc {
+	return func(status int, body any) {
+		s.cluster.after(delay, func() { reply(status, body) })
+	}
+}
+
+func (s *StateService) route(method string, target *url.URL, body []byte, reply replyFunc) {
+	isPost := method == http.MethodPost
+	switch path := target.Path; {
+	case isPost && path == pathTransactions:
+		s.applyTransaction(body, reply)
+	case isPost && path == pathLeases:
+		s.grantLease(body, reply)
+	case isPost && strings.HasSuffix(path, renewSuffix):
+		s.serveRenewal(path, reply)
+	case path == pathEntries:
+		s.listEntries(target.Query(), reply)
+	case strings.HasPrefix(path, pathEntry):
+		s.readEntry(strings.TrimPrefix(path, pathEntry), reply)
+	case path == pathChanges:
+		s.serveWatch(target.Query(), reply)
+	default:
+		reply(http.StatusBadRequest, nil)
+	}
+}
+
+// listEntries answers with the entries under a prefix, after a key, up to a limit.
+func (s *StateService) listEntries(query url.Values, reply replyFunc) {
+	list := protocol.EntryList{StoreRevision: s.revision, Entries: []protocol.Entry{}}
+	limit, _ := strconv.Atoi(query.Get("limit")) // none: 0
+	since := query.Get("since")
+	for _, key := range s.keys(query.Get("under")) {
+		if key <= since {
+			continue
+		}
+		if len(list.Entries) >= limit {
+			list.Truncated = true
+			break
+		}
+		list.Entries = append(list.Entries, s.entries[key])
+	}
+	reply(http.StatusOK, &list)
+}
+
+// missingEntry answers a read of a key that is not there.
+type missingEntry struct {
+	StoreRevision uint64 `cbor:"ledger"`
+}
+
+func (s *StateService) readEntry(key string, reply replyFunc) {
+	entry, ok := s.entries[key]
+	if !ok {
+		reply(http.StatusNotFound, &missingEntry{StoreRevision: s.revision})
+		return
+	}
+	reply(http.StatusOK, &entry)
+}
+
+// keys lists the keys with a prefix, in order.
+func (s *StateService) keys(prefix string) []string {
+	var keys []string
+	for key := range s.entries {
+		if strings.HasPrefix(key, prefix) {
+			keys = append(keys, key)
+		}
+	}
+	sort.Strings(keys)
+	return keys
+}
--- /dev/null
+++ b/internal/simulator/state_transactions.go
@@ -0,0 +1,132 @@
+package simulator
+
+import (
+	"fmt"
+	"net/http"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"curlewspool/internal/protocol"
+)
+
+// Limits of a transaction beside the number of its mutations.
+const (
+	maxTransactionBytes     = 64 << 10
+	maxConditionsByMutation = 4 // times as many conditions as mutations are allowed
+)
+
+// applyTransaction makes all of a transaction's mutations if all its conditions hold.
+func (s *StateService) applyTransaction(body []byte, reply replyFunc) {
+	var transaction protocol.Transaction
+	if protocol.Decode(body, &transaction) != nil {
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "malformed"})
+		return
+	}
+	if exceeded := s.exceededLimit(&transaction, len(body)); exceeded != "" {
+		s.OversizedRequests = append(s.OversizedRequests, exceeded)
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "too large"})
+		return
+	}
+	if !s.writeLimit.take(s.cluster.now, len(transaction.Mutations)) {
+		reply(http.StatusTooManyRequests, nil)
+		return
+	}
+	if !s.hasLeases(transaction.Mutations) {
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "no such lease"})
+		return
+	}
+	if failed := s.failedKeys(transaction.Conditions); failed != nil {
+		reply(http.StatusConflict, &protocol.TransactionResult{FailedKeys: failed, StoreRevision: s.revision})
+		return
+	}
+	s.mutate(transaction.Mutations)
+	reply(http.StatusOK, &protocol.TransactionResult{StoreRevision: s.revision})
+	if len(transaction.Mutations) > 0 {
+		s.notifyWatches()
+	}
+}
+
+// hasLeases tells whether all leases exist that mutations name.
+func (s *StateService) hasLeases(mutations []protocol.Mutation) bool {
+	for _, mutation := range mutations {
+		if mutation.Lease != 0 && s.leases[mutation.Lease] == nil {
+			return false
+		}
+	}
+	return true
+}
+
+// failedKeys lists the keys whose conditions do not hold; nil: all hold.
+func (s *StateService) failedKeys(conditions []protocol.Condition) (failed []string) {
+	for _, condition := range conditions {
+		if s.entries[condition.Key].Revision != condition.Revision {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+// mutate makes mutations under one new revision.
+func (s *StateService) mutate(mutations []protocol.Mutation) {
+	if len(mutations) > 0 {
+		s.revision++
+		s.Writes += len(mutations)
+	}
+	for _, mutation := range mutations {
+		if mutation.Put != "" {
+			s.putEntry(mutation)
+		} else if _, ok := s.entries[mutation.Delete]; ok {
+			s.deleteEntry(mutation.Delete)
+		}
+	}
+	s.compactChangeLog()
+}
+
+func (s *StateService) putEntry(mutation protocol.Mutation) {
+	value := append(cbor.RawMessage(nil), mutation.Value...)
+	s.entries[mutation.Put] = protocol.Entry{Key: mutation.Put, Value: value, Revision: s.revision, Lease: mutation.Lease}
+	s.changeLog = append(s.changeLog, protocol.Change{Put: mutation.Put, Value: value, Revision: s.revision})
+}
+
+func (s *StateService) deleteEntry(key string) {
+	delete(s.entries, key)
+	s.changeLog = append(s.changeLog, protocol.Change{Delete: key, Revision: s.revision})
+}
+
+// exceededLimit says what of a transaction is above the limits; "": nothing.
+func (s *StateService) exceededLimit(transaction *protocol.Transaction, size int) string {
+	mutations, conditions := len(transaction.Mutations), len(transaction.Conditions)
+	if mutations > s.maxTransactionSize || conditions > maxConditionsByMutation*s.maxTransactionSize || size > maxTransactionBytes {
+		return fmt.Sprintf("%d changes, %d conditions, %d bytes", mutations, conditions, size)
+	}
+	for _, mutation := range transaction.Mutations {
+		var value any
+		if mutation.Put == "" || protocol.Decode(mutation.Value, &value) != nil {
+			continue
+		}
+		if n := jsonSize(value); float64(n) > s.maxValueKB*1024 {
+			return fmt.Sprintf("%s has %d bytes", mutation.Put, n)
+		}
+	}
+	return ""
+}
+
+// jsonSize is about the size of a value as JSON, by which the limit is counted.
+func jsonSize(value any) (size int) {
+	switch v := value.(type) {
+	case map[any]any:
+		for key, element := range v {
+			size += jsonSize(key) + jsonSize(element) + 2
+		}
+		return size + 2
+	case []any:
+		for _, element := range v {
+			size += jsonSize(element) + 1
+		}
+		return size + 2
+	case string:
+		return len(v) + 2
+	default:
+		return len(fmt.Sprint(v))
+	}
+}
--- /dev/null
+++ b/internal/simulator/task_execution.go
@@ -0,0 +1,139 @@
+package simulator
+
+import (
+	"time"
+
+	"curlewspool/internal/agent"
+	"curlewspool/internal/env"
+	"curlewspool/internal/protocol"
+)
+
+// taskAttempt is one attempt of a task on a machine.
+type taskAttempt struct {
+	agent.TaskID
+	number        uint64
+	state         protocol.TaskState
+	cause         protocol.TerminationCause // why it ended
+	checkpointed  bool
+	present       bool // has its image and has not exited
+	resultExisted bool // the result of an earlier attempt was there already
+	step          int  // counts scheduled steps: earlier ones are void
+}
+
+// scheduleStep runs f later unless the attempt has moved on or is gone; a hung machine
+// does it when it goes on.
+func (m *Machine) scheduleStep(attempt *taskAttempt, delay time.Duration, f func()) {
+	attempt.step++
+	step := attempt.step
+	var try func()
+	try = func() {
+		if m.deleted || attempt.step != step || m.findAttempt(attempt.String(), attempt.number) != attempt {
+			return
+		}
+		if m.Hung {
+			m.cluster.after(hungRetryInterval, try)
+			return
+		}
+		f()
+	}
+	m.cluster.after(delay, try)
+}
+
+// ActualRuntime is how long a task really runs: a little off its job's estimate.
+func ActualRuntime(job *protocol.Job, index int) time.Duration {
+	return env.Seconds(job.Estimate * (0.9 + 0.05*float64(index%5)))
+}
+
+// startTask starts a task whose image is there. A gang's then waits for the others.
+func (m *Machine) startTask(attempt *taskAttempt, job *protocol.Job) {
+	if m.Faulty || m.cluster.FailingJobs[attempt.Job] {
+		m.cluster.FailedStarts = append(m.cluster.FailedStarts, attempt.TaskID)
+		m.endAttempt(attempt, protocol.CauseError)
+		return
+	}
+	attempt.present = true
+	m.observe(attempt, observedStart)
+	m.cluster.checkStart(m, attempt, job)
+	if job.Shape != protocol.ShapeGang {
+		m.runTask(attempt, job)
+		return
+	}
+	attempt.state = protocol.TaskWaitingForGang
+	gangWait := env.Seconds(m.cluster.Settings.Deployment.Workers.GangWait)
+	m.scheduleStep(attempt, gangWait, func() { m.endAttempt(attempt, protocol.CauseGangIncomplete) })
+	m.reportSoon()
+	m.cluster.startGang(job, attempt.number)
+}
+
+// runTask runs a task until it is done; a service's until it is stopped. A task whose
+// result is there from before is done at once.
+func (m *Machine) runTask(attempt *taskAttempt, job *protocol.Job) {
+	attempt.state = protocol.TaskRunning
+	m.reportSoon()
+	if job.Shape == protocol.ShapeService {
+		return
+	}
+	runtime := m.cluster.scaledRuntime(job, attempt.Index)
+	if m.cluster.hasResult(attempt) {
+		runtime = 0
+		attempt.resultExisted = true
+	}
+	m.scheduleStep(attempt, runtime, func() { m.endAttempt(attempt, protocol.CauseDone) })
+}
+
+// scaledRuntime is a task's actual runtime by the factors of its class.
+func (c *Cluster) scaledRuntime(job *protocol.Job, index int) time.Duration {
+	factor := factorOrOne(c.RuntimeFactors[job.Class])
+	spread := 1 + c.RuntimeSpread[job.Class]*float64(index)
+	return time.Duration(float64(ActualRuntime(job, index)) * factor * spread)
+}
+
+// hasResult tells whether an earlier attempt of the task was done.
+func (c *Cluster) hasResult(attempt *taskAttempt) bool {
+	home, task := c.origin(attempt.TaskID)
+	return home.completedTasks[task]
+}
+
+// endAttempt ends an attempt with a cause.
+func (m *Machine) endAttempt(attempt *taskAttempt, cause protocol.TerminationCause) {
+	attempt.step++
+	switch {
+	case attempt.resultExisted && cause == protocol.CauseDone:
+		m.observe(attempt, observedResultReused)
+	case attempt.present:
+		m.observe(attempt, string(cause))
+	}
+	attempt.state = protocol.TaskEnded
+	attempt.cause = cause
+	attempt.present = false
+	if cause == protocol.CauseDone {
+		m.cluster.recordCompletion(attempt.TaskID)
+	}
+	m.reportSoon()
+}
+
+// recordCompletion notes that a task is done, at the cluster that its user knows.
+func (c *Cluster) recordCompletion(id agent.TaskID) {
+	home, task := c.origin(id)
+	home.completedTasks[task] = true
+	c.histories.recordCompletion(task)
+	completed := len(c.histories.job(task.Job).completedTasks)
+	if c.OnJobCompleted != nil && completed == home.jobs[task.Job].Tasks {
+		c.OnJobCompleted(task.Job)
+	}
+	c.Trace("  %s done", id)
+}
+
+// MachinesRunning lists the machines on which tasks of a job are now.
+func (c *Cluster) MachinesRunning(job string) []string {
+	var ids []string
+	for _, id := range c.machineIDs() {
+		for _, attempt := range c.Machines[id].attempts {
+			if attempt.Job == job && attempt.present {
+				ids = append(ids, id)
+				break
+			}
+		}
+	}
+	return ids
+}
--- /dev/null
+++ b/internal/simulator/user_requests_test.go
@@ -0,0 +1,239 @@
+package simulator
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"net/http"
+	"slices"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// userAction is what a user does about a job.
+type userAction string
+
+// What users do once more about jobs.
+const (
+	pollAgain   userAction = "ask"
+	submitAgain userAction = "submit"
+	cancelAgain userAction = "cancel"
+)
+
+// userRequest is the request by which a user does something.
+type userRequest struct {
+	method, path string
+	body         any
+}
+
+func requestFor(action userAction, submission *protocol.Submission) userRequest {
+	id := *submission.ID
+	switch action {
+	case pollAgain:
+		return userRequest{http.MethodGet, pathJob + id, nil}
+	case cancelAgain:
+		return userRequest{http.MethodPost, pathJob + id + cancelSuffix, nil}
+	default:
+		return userRequest{http.MethodPost, pathJobs, submission}
+	}
+}
+
+// repeatRequest has a user poll a job, submit it once more, or cancel it, at one
+// controller. The answer must agree with all that was answered before the request.
+func (c *Cluster) repeatRequest(controller string, action userAction, submission *protocol.Submission) {
+	id := *submission.ID
+	askedAt, wasAccepted := c.now, c.reportedStatus[id] != ""
+	if action == cancelAgain {
+		c.noteCancellationRequest(id)
+	}
+	request, state := requestFor(action, submission), &protocol.JobState{}
+	c.request(c.address(userHost), c.apiAddress(controller), request.method, request.path, request.body, state, userTimeout, func(status int) {
+		switch {
+		case status == 400 || status == 404 || status == 422:
+			if wasAccepted {
+				c.reportViolation(RuleNotForgotten, "%s, %s at %s gets %d", id, action, controller, status)
+			}
+		case status/100 != 2:
+		case c.endReportedAt[id] > askedAt && state.Status != c.reportedStatus[id]:
+			// The end was told while this answer was on its way: they crossed.
+		case action == cancelAgain:
+			c.recordCancellationAnswer(id, state.Status)
+		default:
+			c.recordStatus(id, state.Status)
+		}
+	})
+}
+
+// sendInvalidRequests has users repeat submissions of a job, also with other fields, and
+// submit jobs that lack a field or can never run.
+func (c *Cluster) sendInvalidRequests(from, to float64, submission *protocol.Submission) {
+	count := 0
+	for at := from; at < to; at += 0.7 {
+		count++
+		changed := *submission
+		changed.Tasks, changed.Estimate = nil, nil
+		incomplete := incompleteSubmission(submission, count)
+		impossible := impossibleSubmission(submission, count)
+		c.At(at, func() {
+			// count has its last value by now: all of them go to one controller.
+			controller := c.controllerNames[count%len(c.controllerNames)]
+			c.repeatRequest(controller, submitAgain, submission)
+			c.repeatRequest(controller, submitAgain, &changed)
+			c.expectRefusal(controller, incomplete, http.StatusBadRequest)
+			c.expectRefusal(controller, impossible, http.StatusUnprocessableEntity)
+		})
+	}
+}
+
+// expectRefusal submits a job that must be refused with a status, or not be answered now.
+func (c *Cluster) expectRefusal(controller string, submission *protocol.Submission, want int) {
+	c.request(c.address(userHost), c.apiAddress(controller), http.MethodPost, pathJobs, submission, nil, userTimeout, func(status int) {
+		switch status {
+		case want, http.StatusServiceUnavailable, http.StatusTooManyRequests, noAnswer:
+		default:
+			c.reportViolation(RuleInvalidRefused, "%s gets %d", *submission.ID, status)
+		}
+	})
+}
+
+// incompleteSubmission is a job wk-xN of which a field is missing or invalid.
+func incompleteSubmission(submission *protocol.Submission, number int) *protocol.Submission {
+	incomplete := *submission
+	incomplete.ID = new(fmt.Sprintf("wk-x%d", number))
+	switch number % 5 {
+	case 0:
+		incomplete.Image = nil
+	case 1:
+		incomplete.Cores = nil
+	case 2:
+		incomplete.SingleZone = nil
+	case 3:
+		incomplete.Priority = new("urgent")
+	case 4:
+		incomplete.Zone = new("")
+	}
+	return &incomplete
+}
+
+// impossibleSubmission is a job wk-yN that no cluster of these settings can ever run.
+func impossibleSubmission(submission *protocol.Submission, number int) *protocol.Submission {
+	impossible := *submission
+	impossible.ID = new(fmt.Sprintf("wk-y%d", number))
+	switch number % 6 {
+	case 0:
+		impossible.Cores = new(4096.0)
+	case 1:
+		impossible.Team = new("nobody")
+	case 2:
+		impossible.MachineTypes = []string{"none"}
+	case 3:
+		makeGangOfNine(&impossible)
+		impossible.Team = new("blue")
+	case 4:
+		makeGangOfNine(&impossible)
+		impossible.SpreadZones, impossible.SingleZone = new(true), new(true)
+	case 5:
+		makeGangOfNine(&impossible)
+		impossible.SpreadZones, impossible.Zone = new(true), new("b")
+	}
+	return &impossible
+}
+
+func makeGangOfNine(submission *protocol.Submission) {
+	submission.Shape = new(protocol.ShapeGang)
+	submission.Tasks = new(uint64(9))
+}
+
+// pollEveryController has users ask at all controllers, again and again within milliseconds,
+// and repeat the submission, right after a job was accepted, done or confirmed as
+// cancelled; a share of the jobs is cancelled at once.
+func (c *Cluster) pollEveryController(random *rand.Rand, cancelled float64) {
+	c.OnStatusReported = func(id string, status protocol.JobStatus) {
+		if status == protocol.JobRunning {
+			return
+		}
+		cancel := status == protocol.JobPending && random.Float64() < cancelled
+		for i, name := range c.controllerNames {
+			for k := range 4 {
+				what := []userAction{pollAgain, submitAgain, pollAgain, pollAgain}[(i+k)%4]
+				if cancel && k == 1 && i == int(c.now)%len(c.controllerNames) {
+					what = cancelAgain
+				}
+				c.after(time.Duration(random.IntN(15*(k+1)))*time.Millisecond, func() { c.repeatRequest(name, what, c.submissions[id]) })
+			}
+		}
+	}
+}
+
+// pollAllJobs asks a controller about all jobs that were accepted.
+func (c *Cluster) pollAllJobs(node string) {
+	for _, id := range slices.Sorted(maps.Keys(c.submissions)) {
+		if c.reportedStatus[id] != "" {
+			c.repeatRequest(node, pollAgain, c.submissions[id])
+		}
+	}
+}
+
+// submitOnceAccepted submits as users do: as soon as those that it needs are accepted.
+func (c *Cluster) submitOnceAccepted(at float64, submission *protocol.Submission) {
+	c.At(at, func() {
+		for _, need := range submission.Dependencies {
+			if c.reportedStatus[need] == "" {
+				c.submitOnceAccepted(c.now.Seconds()+0.1, submission)
+				return
+			}
+		}
+		c.trySubmit(submission, 0)
+	})
+}
+
+// submitPipeline submits four stages as users do, each as soon as those that it needs are
+// accepted: a first one, two that need it, a gang that needs both, and a last one.
+func (c *Cluster) submitPipeline(at float64, name string) (ids []string) {
+	first, left, right, join, last := name+"-first", name+"-left", name+"-right", name+"-join", name+"-last"
+	c.Submit(at, NewSubmission(first, protocol.ShapeArray, 4, 1, 5))
+	c.submitOnceAccepted(at+0.2, NewSubmission(left, protocol.ShapeArray, 6, 1, 4, DependsOn(first)))
+	c.submitOnceAccepted(at+0.3, NewSubmission(right, protocol.ShapeArray, 3, 1, 8, DependsOn(first)))
+	c.submitOnceAccepted(at+0.5, NewSubmission(join, protocol.ShapeGang, 2, 2, 5, DependsOn(left, right)))
+	c.submitOnceAccepted(at+0.7, NewSubmission(last, protocol.ShapeArray, 2, 1, 3, DependsOn(join), withPriority("high"), withDeadline(120)))
+	return []string{first, left, right, join, last}
+}
+
+// submitRandomPipelines submits some pipelines of random form: each stage needs one to three of
+// those before it; some stages are cancelled, late, or need something that is long over.
+func (c *Cluster) submitRandomPipelines(random *rand.Rand) {
+	for p := range 2 + random.IntN(3) {
+		at := 5 + 25*random.Float64()
+		for i := range 3 + random.IntN(4) {
+			id := fmt.Sprintf("wk-p%d-%d", p, i)
+			var needs []string
+			for range min(i, 1+random.IntN(3)) {
+				needs = append(needs, fmt.Sprintf("wk-p%d-%d", p, random.IntN(i)))
+			}
+			shape, tasks, due := protocol.ShapeArray, 1+random.IntN(5), 60+60*random.Float64()
+			if random.IntN(4) == 0 {
+				shape, tasks = protocol.ShapeGang, 2
+			}
+			c.submitOnceAccepted(at+0.1*float64(i), NewSubmission(id, shape, tasks, 1, 2+6*random.Float64(), DependsOn(needs...), withDeadline(due)))
+			if random.IntN(10) == 0 {
+				c.Cancel(at+30*random.Float64(), id)
+			}
+			if random.IntN(6) == 0 {
+				at += 30 * random.Float64()
+			}
+		}
+	}
+}
+
+// makePartsUneven has some parts full for longer than they seemed to be, so that chunks move.
+func (c *Cluster) makePartsUneven() {
+	c.RuntimeFactors = map[string]float64{"long": 6}
+	for i := range 24 {
+		class := "class"
+		if i%3 == 0 {
+			class = "long"
+		}
+		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, ofClass(class)))
+	}
+}
