--- a/internal/controller/machinetransfer.go
+++ b/internal/controller/machinetransfer.go
@@ -7,65 +7,88 @@
 	"curlewspool/internal/shard"
 )
 
-// This file has machines lent to parts whose gangs are larger than they are, and
-// chunks moved.
+// This file transfers machines to shards whose gangs are larger than they are.
 
-// transferMachines finds machines in other parts for gangs that their own part is too
-// small for: such a gang is in effect the head of all parts. So is the oldest of those
-// that should have begun and find nothing free in theirs.
+// transferDemands are the jobs for which machines of other shards are asked for.
+type transferDemands struct {
+	oversizedGangs []*peermsg.UnmetDemand // gangs that do not fit into their shard
+	oldest         *peermsg.UnmetDemand   // the oldest gang (or job with a team limit) that is oversized or overdue
+	oldestArray    *peermsg.UnmetDemand   // the oldest overdue array
+}
+
+// transferMachines asks for machines of other shards for gangs that their own shard is too
+// small for: such a gang is in effect the head of the queue of all shards. So is the oldest
+// of those that are overdue and find nothing free in theirs.
 func (c *Controller) transferMachines() {
 	statuses := c.liveStatuses()
-	c.oversizedGangs = nil
-	var oldest, stuck *peermsg.UnmetDemand
-	at := func(g *peermsg.UnmetDemand) float64 { return c.jobs[g.Job].AcceptedAt }
-	for _, s := range statuses {
-		for _, g := range s.UnmetDemands {
-			if c.jobs[g.Job] == nil || g.MissingTasks <= 0 && g.OverdueTasks <= 0 {
-				continue
-			}
-			if g.MissingTasks <= 0 && c.jobs[g.Job].Job.Shape == protocol.ShapeArray && !c.hasTeamLimit(&c.jobs[g.Job].Job) {
-				if stuck == nil || at(g) < at(stuck) {
-					stuck = g
-				}
-				continue
-			}
-			if g.MissingTasks > 0 {
-				c.oversizedGangs = append(c.oversizedGangs, g)
-			}
-			if oldest == nil || at(g) < at(oldest) {
-				oldest = g
-			}
-		}
-	}
-	for _, g := range c.oversizedGangs {
-		if g != oldest {
-			c.transferMachinesFor(&c.jobs[g.Job].Job, g, int(g.MissingTasks), statuses, false)
+	demands := c.collectTransferDemands(statuses)
+	c.oversizedGangs = demands.oversizedGangs
+	oldest := demands.oldest
+	for _, gang := range demands.oversizedGangs {
+		if gang != oldest {
+			c.transferMachinesFor(gang, int(gang.MissingTasks), statuses, false)
 		}
 	}
 	if oldest == nil {
-		if stuck != nil {
-			c.transferIdleMachine(stuck, statuses)
+		if demands.oldestArray != nil {
+			c.transferIdleMachine(demands.oldestArray, statuses)
 		}
 		return
 	}
-	if oldest.MissingTasks <= 0 { // what comes up meanwhile is for it, too
+	if oldest.MissingTasks <= 0 { // machines that come up meanwhile are for it, too
 		c.oversizedGangs = append(c.oversizedGangs, oldest)
 	}
-	c.transferMachinesFor(&c.jobs[oldest.Job].Job, oldest, int(max(oldest.MissingTasks, oldest.OverdueTasks)), statuses, c.WallSeconds()-at(oldest) > c.settings.Score.Begin/4)
+	wantsBusy := c.WallSeconds()-c.jobs[oldest.Job].AcceptedAt > c.settings.Score.Begin/4
+	c.transferMachinesFor(oldest, int(max(oldest.MissingTasks, oldest.OverdueTasks)), statuses, wantsBusy)
 }
 
-// transferIdleMachine asks for one machine for the rest of an array that has started: an empty one
-// of a part in which nothing is queued.
-func (c *Controller) transferIdleMachine(gap *peermsg.UnmetDemand, statuses []*peermsg.Status) {
-	job := &c.jobs[gap.Job].Job
+// collectTransferDemands sorts what shards report as unmet.
+func (c *Controller) collectTransferDemands(statuses []*peermsg.Status) transferDemands {
+	var demands transferDemands
 	for _, status := range statuses {
-		for _, p := range status.Shards {
-			if p.Shard == gap.Shard || len(p.QueuedWork) == 0 || p.QueuedWork[0] > 0 {
+		for _, demand := range status.UnmetDemands {
+			if c.jobs[demand.Job] == nil || demand.MissingTasks <= 0 && demand.OverdueTasks <= 0 {
 				continue
 			}
-			for _, room := range p.FreeCapacity {
-				if room.Empty && (gap.Zone == "" || gap.Zone == room.Zone) && shard.CanRunOn(job, c.machineTypes[room.Type], room.Zone, room.Spot) {
-					c.requestTransfer(int(p.Shard), &peermsg.MachineTransfer{Machine: room.Machine, ToShard: gap.Shard})
+			if demand.MissingTasks <= 0 && c.isFreeArray(&c.jobs[demand.Job].Job) {
+				demands.oldestArray = c.older(demands.oldestArray, demand)
+				continue
+			}
+			if demand.MissingTasks > 0 {
+				demands.oversizedGangs = append(demands.oversizedGangs, demand)
+			}
+			demands.oldest = c.older(demands.oldest, demand)
+		}
+	}
+	return demands
+}
+
+// isFreeArray reports whether a job is an array whose chunks may be in any shard.
+func (c *Controller) isFreeArray(job *protocol.Job) bool {
+	return job.Shape == protocol.ShapeArray && !c.hasTeamLimit(job)
+}
+
+// older is the demand whose job was accepted first; first, which may be nil, on a tie.
+func (c *Controller) older(first, second *peermsg.UnmetDemand) *peermsg.UnmetDemand {
+	if first == nil || c.jobs[second.Job].AcceptedAt < c.jobs[first.Job].AcceptedAt {
+		return second
+	}
+	return first
+}
+
+// transferIdleMachine asks for one machine for the rest of an array that has started: an
+// empty one of a shard in which nothing is queued.
+func (c *Controller) transferIdleMachine(demand *peermsg.UnmetDemand, statuses []*peermsg.Status) {
+	job := &c.jobs[demand.Job].Job
+	for _, status := range statuses {
+		for _, other := range status.Shards {
+			if other.Shard == demand.Shard || len(other.QueuedWork) == 0 || other.QueuedWork[0] > 0 {
+				continue
+			}
+			for _, free := range other.FreeCapacity {
+				isInZone := demand.Zone == "" || demand.Zone == free.Zone
+				if free.Empty && isInZone && shard.CanRunOn(job, c.machineTypes[free.Type], free.Zone, free.Spot) {
+					c.requestTransfer(transferRequest{machine: free.Machine, from: int(other.Shard), to: demand.Shard})
 					return
 				}
 			}
@@ -73,95 +96,158 @@
 	}
 }
 
-func (c *Controller) requestTransfer(from int, request *peermsg.MachineTransfer) {
-	if owner := c.registry.OwnerOf(election.ShardKey(from)); owner == c.settings.Name {
-		c.handOverMachine(request)
-	} else if owner != "" {
-		c.env.Send(owner, &peermsg.Envelope{Body: &peermsg.Envelope_MachineTransfer{MachineTransfer: request}})
+// transferRequest is the wish that a machine go from one shard to another.
+type transferRequest struct {
+	machine string
+	from    int
+	to      int32
+}
+
+// requestTransfer hands the request to the owner of the machine's shard, if it has one.
+func (c *Controller) requestTransfer(request transferRequest) {
+	message := &peermsg.MachineTransfer{Machine: request.machine, ToShard: request.to}
+	switch owner := c.registry.OwnerOf(election.ShardKey(request.from)); owner {
+	case "":
+	case c.settings.Name:
+		c.handOverMachine(message)
+	default:
+		c.env.Send(owner, &peermsg.Envelope{Body: &peermsg.Envelope_MachineTransfer{MachineTransfer: message}})
 	}
 }
 
-// transferMachinesFor asks owners for machines for a gang; full: for such as have nothing free,
-// too, which take nothing new until they are empty. (Where small tasks fill whole
-// machines none is ever told as free, and a gang of five waited until they stopped
-// coming.) That is for one gang at a time, the oldest, when it should have begun soon.
-func (c *Controller) transferMachinesFor(j *protocol.Job, g *peermsg.UnmetDemand, left int, statuses []*peermsg.Status, full bool) {
-	if t := c.settings.Team(j.Team); t == nil || int(g.Shard) >= len(c.controllerNames) {
+// transferMachinesFor asks owners for machines for some tasks of a job. With wantsBusy it asks
+// also for machines that have nothing free, which take nothing new until they are empty.
+// (Where small tasks fill whole machines none is ever reported as free, and a gang of five
+// waited until they stopped coming.) That is for one gang at a time, the oldest, when it
+// should have begun soon.
+func (c *Controller) transferMachinesFor(demand *peermsg.UnmetDemand, missing int, statuses []*peermsg.Status, wantsBusy bool) {
+	job := &c.jobs[demand.Job].Job
+	if c.settings.Team(job.Team) == nil || int(demand.Shard) >= len(c.controllerNames) {
 		return
 	}
-	// The zone with the most machines to come from, for a job in one zone.
-	zone, most := "", 0
-	if j.SingleZone {
-		count := map[string]int{}
+	selection := c.newTransferSelection(job, int(demand.Shard), missing)
+	selection.addFree(statuses, true)
+	selection.addFree(statuses, false)
+	if wantsBusy {
 		for _, id := range sortedKeys(c.machines) {
-			if m := c.machines[id]; shard.CanRunOn(j, c.machineTypes[m.Type], m.Zone, m.Spot) {
-				count[m.Zone] += c.machineTypes[m.Type].TasksThatFit(j, j.Tasks)
-			}
-		}
-		for _, z := range sortedKeys(count) {
-			if count[z] > most {
-				zone, most = z, count[z]
-			}
+			machine := c.machines[id]
+			selection.add(id, machine.Type, machine.Zone, machine.Spot, machine.Shard)
 		}
 	}
-	// A gang apart lacks room in some zones only: what its part has in each.
-	there := map[string]int{}
-	if j.SpreadZones {
-		for _, m := range c.machines {
-			if m.Shard == int(g.Shard) && shard.CanRunOn(j, c.machineTypes[m.Type], m.Zone, m.Spot) {
-				there[m.Zone] += c.machineTypes[m.Type].TasksThatFit(j, j.Tasks)
-			}
+	for _, request := range selection.requests {
+		c.requestTransfer(request)
+	}
+}
+
+// transferSelection chooses machines of other shards for one job.
+type transferSelection struct {
+	machineTypes map[string]*protocol.MachineType
+	job          *protocol.Job
+	toShard      int
+	missing      int            // tasks that are still without a machine
+	zone         string         // the only zone that is considered; "": any
+	tasksInZone  map[string]int // for a job spread over zones: tasks for which the shard has, or was selected, room
+	selected     map[string]bool
+	requests     []transferRequest // in the order of selection
+}
+
+func (c *Controller) newTransferSelection(job *protocol.Job, toShard, missing int) *transferSelection {
+	selection := &transferSelection{
+		machineTypes: c.machineTypes,
+		job:          job,
+		toShard:      toShard,
+		missing:      missing,
+		tasksInZone:  map[string]int{},
+		selected:     map[string]bool{},
+	}
+	if job.SingleZone {
+		selection.zone = c.largestZoneFor(job)
+	}
+	if job.SpreadZones { // which lacks room in some zones only
+		selection.tasksInZone = c.tasksThatFitByZone(job, func(machine *shard.MachineRecord) bool { return machine.Shard == toShard })
+	}
+	return selection
+}
+
+// largestZoneFor is the zone whose machines, were they empty, could run most tasks of a job;
+// "": no machine can run any.
+func (c *Controller) largestZoneFor(job *protocol.Job) string {
+	tasks := c.tasksThatFitByZone(job, func(*shard.MachineRecord) bool { return true })
+	largest := ""
+	for _, zone := range sortedKeys(tasks) {
+		if tasks[zone] > tasks[largest] {
+			largest = zone
 		}
 	}
-	asked := map[string]bool{}
-	one := func(id, typ, z string, spot bool, of int) {
-		if left <= 0 || of == int(g.Shard) || asked[id] || zone != "" && z != zone ||
-			!shard.CanRunOn(j, c.machineTypes[typ], z, spot) || j.SpreadZones && there[z] >= shard.MaxPerZone(j) {
-			return
+	return largest
+}
+
+// tasksThatFitByZone counts, by zone, the tasks of a job that fit on the chosen machines
+// were they empty.
+func (c *Controller) tasksThatFitByZone(job *protocol.Job, isChosen func(machine *shard.MachineRecord) bool) map[string]int {
+	tasks := map[string]int{}
+	for _, machine := range c.machines {
+		machineType := c.machineTypes[machine.Type]
+		if isChosen(machine) && shard.CanRunOn(job, machineType, machine.Zone, machine.Spot) {
+			tasks[machine.Zone] += machineType.TasksThatFit(job, job.Tasks)
 		}
-		asked[id] = true
-		k := c.machineTypes[typ].TasksThatFit(j, j.Tasks)
-		there[z] += k
-		left -= k
-		c.requestTransfer(of, &peermsg.MachineTransfer{Machine: id, ToShard: g.Shard})
-	}
-	for _, empty := range []bool{true, false} {
-		for _, s := range statuses {
-			for _, p := range s.Shards {
-				for _, r := range p.FreeCapacity {
-					if r.Empty == empty {
-						one(r.Machine, r.Type, r.Zone, r.Spot, int(p.Shard))
-					}
+	}
+	return tasks
+}
+
+// addFree selects among the machines that shards report as free, either the empty ones or
+// those that are partly in use.
+func (s *transferSelection) addFree(statuses []*peermsg.Status, isEmpty bool) {
+	for _, status := range statuses {
+		for _, from := range status.Shards {
+			for _, free := range from.FreeCapacity {
+				if free.Empty == isEmpty {
+					s.add(free.Machine, free.Type, free.Zone, free.Spot, int(from.Shard))
 				}
 			}
 		}
 	}
-	if full && left > 0 {
-		for _, id := range sortedKeys(c.machines) {
-			m := c.machines[id]
-			one(id, m.Type, m.Zone, m.Spot, m.Shard)
-		}
+}
+
+// add selects a machine if the job still lacks machines and may use this one.
+func (s *transferSelection) add(id, typeName, zone string, isSpot bool, from int) {
+	machineType := s.machineTypes[typeName]
+	if s.missing <= 0 || from == s.toShard || s.selected[id] || s.zone != "" && zone != s.zone {
+		return
+	}
+	if !shard.CanRunOn(s.job, machineType, zone, isSpot) {
+		return
+	}
+	if s.job.SpreadZones && s.tasksInZone[zone] >= shard.MaxPerZone(s.job) {
+		return
 	}
+	tasks := machineType.TasksThatFit(s.job, s.job.Tasks)
+	s.selected[id] = true
+	s.tasksInZone[zone] += tasks
+	s.missing -= tasks
+	s.requests = append(s.requests, transferRequest{machine: id, from: from, to: int32(s.toShard)})
 }
 
+// handOverMachine has a shard owned here hand a machine over.
 func (c *Controller) handOverMachine(request *peermsg.MachineTransfer) {
 	record := c.machines[request.Machine]
 	if record == nil || int(request.ToShard) < 0 || int(request.ToShard) >= len(c.controllerNames) {
 		return
 	}
-	if p := c.ownedShard(record.Shard); p != nil {
-		p.LendMachine(request.Machine, int(request.ToShard))
+	if owned := c.ownedShard(record.Shard); owned != nil {
+		owned.LendMachine(request.Machine, int(request.ToShard))
 	}
 }
 
+// moveChunks has the shards owned here hand queued chunks to shards with free room.
 func (c *Controller) moveChunks() {
-	var all []*peermsg.ShardStatus
-	for _, s := range c.liveStatuses() {
-		all = append(all, s.Shards...)
+	var statuses []*peermsg.ShardStatus
+	for _, status := range c.liveStatuses() {
+		statuses = append(statuses, status.Shards...)
 	}
-	c.eachShard(func(p *shard.Shard) {
-		if c.ownedShard(p.ID) != nil {
-			p.MoveQueuedChunk(all)
+	c.eachShard(func(candidate *shard.Shard) {
+		if c.ownedShard(candidate.ID) != nil {
+			candidate.MoveQueuedChunk(statuses)
 		}
 	})
 }
