--- /dev/null
+++ b/internal/controller/machinediscovery.go
@@ -0,0 +1,144 @@
+package controller
+
+import (
+	"cmp"
+	"log/slog"
+	"slices"
+
+	"github.com/gofiber/fiber/v2"
+
+	"curlewspool/internal/election"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// This file finds machines that have no record yet and chooses their records.
+
+// reportFromUnknownMachine answers the report of a machine without a record. The leader gives
+// it one, with a shard; until then the machine reports again.
+func (c *Controller) reportFromUnknownMachine(report *protocol.Report, reply HeartbeatReply) {
+	if !c.mayRecordMachines() {
+		leader := c.registry.OwnerOf(election.LeaderKey)
+		if leader == "" || leader == c.settings.Name {
+			reply(fiber.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "no leader"})
+			return
+		}
+		reply(fiber.StatusMisdirectedRequest, &protocol.ErrorResponse{Error: "not the leader", Owner: leader})
+		return
+	}
+	reply(fiber.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "being recorded"})
+	c.probeMachine(report)
+}
+
+// probeMachine asks a machine without a record whether it is there before it is given one:
+// the report may be a late copy of one of a machine that was deleted, and work would be
+// placed on a machine that is gone. One that does not answer could not be used: the
+// autoscaler gives up what the cloud lists of it as never having come up.
+func (c *Controller) probeMachine(report *protocol.Report) {
+	id := report.Machine
+	if c.enrolment.probing[id] || !c.needsRecord(id) || c.isWorkerCallLimitReached() {
+		return
+	}
+	if len(c.enrolment.additions)+len(c.enrolment.probing) >= c.maxPendingEnrolments() {
+		return
+	}
+	c.enrolment.probing[id] = true
+	c.fetchMachineStatus(id, report.Address, func(answer *protocol.Report) {
+		delete(c.enrolment.probing, id)
+		if answer != nil && answer.Validate() == nil && c.needsRecord(id) && c.mayRecordMachines() {
+			c.recordMachine(answer)
+		}
+	})
+}
+
+// needsRecord reports whether a machine has no record and none is pending, and the
+// autoscaler has not deleted it.
+func (c *Controller) needsRecord(id string) bool {
+	if c.machines[id] != nil || c.enrolment.additions[id] != nil {
+		return false
+	}
+	return !c.isLeader() || !c.autoscaler.IsDeleted(id)
+}
+
+// recordMachine gives a machine that is there a record.
+func (c *Controller) recordMachine(report *protocol.Report) {
+	record := &shard.MachineRecord{
+		ID:      report.Machine,
+		Address: report.Address,
+		Type:    report.Type,
+		Zone:    report.Zone,
+		Spot:    report.Spot,
+		Owned:   c.isLeader() && !c.autoscaler.MayHaveRented(report.Machine),
+	}
+	record.Shard = c.shardFor(record, 0)
+	c.enrolment.additions[record.ID] = record
+	slog.Info("controller: machine recorded", "machine", record.ID, "type", record.Type, "zone", record.Zone,
+		"spot", record.Spot, "shard", record.Shard)
+	c.scheduleRosterWrite()
+}
+
+// recordInitialMachines takes the machines of the cloud's list when none has a record yet: a
+// cluster that starts with hundreds of machines is shared out in one go.
+func (c *Controller) recordInitialMachines(listed []protocol.ListedMachine) {
+	if len(c.machines) > 0 || len(c.machineTypes) == 0 {
+		return
+	}
+	running := c.unrecordedMachines(listed)
+	if len(running) == 0 {
+		return
+	}
+	coresLeft := 0.0
+	for i := range running {
+		coresLeft += c.coresOf(&running[i])
+	}
+	c.sortForPlacement(running)
+	for i := range running {
+		machine := &running[i]
+		record := &shard.MachineRecord{
+			ID:      machine.ID,
+			Address: machine.Address,
+			Type:    machine.Type,
+			Zone:    machine.Zone,
+			Spot:    machine.Spot,
+			Owned:   true,
+		}
+		coresLeft -= c.coresOf(machine)
+		record.Shard = c.shardFor(record, coresLeft)
+		c.enrolment.additions[record.ID] = record
+	}
+	slog.Info("controller: initial machines recorded", "count", len(running))
+	c.scheduleRosterWrite()
+}
+
+// unrecordedMachines are the listed machines that run and for which no record is pending, as
+// many of them as may be.
+func (c *Controller) unrecordedMachines(listed []protocol.ListedMachine) []protocol.ListedMachine {
+	var running []protocol.ListedMachine
+	for _, machine := range listed {
+		isUnrecorded := machine.Status == protocol.MachineRunning && c.enrolment.additions[machine.ID] == nil
+		if isUnrecorded && len(running) < c.maxPendingEnrolments() {
+			running = append(running, machine)
+		}
+	}
+	return running
+}
+
+// sortForPlacement sorts machines zone by zone, large ones first and similar ones together:
+// small ones at the end even the shards out.
+func (c *Controller) sortForPlacement(machines []protocol.ListedMachine) {
+	slices.SortStableFunc(machines, func(a, b protocol.ListedMachine) int {
+		return cmp.Or(
+			cmp.Compare(a.Zone, b.Zone),
+			cmp.Compare(c.coresOf(&b), c.coresOf(&a)),
+			cmp.Compare(a.Type, b.Type),
+		)
+	})
+}
+
+// coresOf are a listed machine's cores; 0 if its type is not in the catalog.
+func (c *Controller) coresOf(machine *protocol.ListedMachine) float64 {
+	if machineType := c.machineTypes[machine.Type]; machineType != nil {
+		return machineType.Cores
+	}
+	return 0
+}
