--- /dev/null
+++ b/internal/controller/headroom.go
@@ -0,0 +1,106 @@
+package controller
+
+import (
+	"fmt"
+
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// This file remembers the large jobs for which whole machines are kept free.
+
+// maxLargeShapes is how many shapes of large jobs are remembered.
+const maxLargeShapes = 64
+
+// noteLargeJob remembers the shape of a gang or a job of one task. Every controller sees all
+// jobs, so all shards keep machines for the same shapes.
+func (c *Controller) noteLargeJob(job *protocol.Job) {
+	if job.Shape != protocol.ShapeGang && job.Tasks > 1 || job.Priority < 0 {
+		return
+	}
+	if len(c.largeShapes) >= maxLargeShapes {
+		c.forgetOldestLargeShape()
+	}
+	key := fmt.Sprintf("%s/%s/%v/%v", job.Class, job.Zone, job.MachineTypes, job.Cores)
+	large := shard.LargeJob{Job: *job, LastSeen: c.env.Now()}
+	large.Job.Tasks = max(job.Tasks, c.largeShapes[key].Job.Tasks) // of the largest one
+	c.largeShapes[key] = large
+}
+
+func (c *Controller) forgetOldestLargeShape() {
+	oldest := ""
+	for _, key := range sortedKeys(c.largeShapes) {
+		if oldest == "" || c.largeShapes[key].LastSeen < c.largeShapes[oldest].LastSeen {
+			oldest = key
+		}
+	}
+	delete(c.largeShapes, oldest)
+}
+
+// LargeJobs are the shapes of gangs and jobs of one task that were seen lately, each with the
+// most tasks seen.
+func (c *Controller) LargeJobs() map[string]shard.LargeJob { return c.largeShapes }
+
+// HasSpareFor reports whether as many other whole machines of a machine's type and kind as a
+// job takes have lower names, in the zone with most of them if the job may only be in one.
+// Such machines are empty, or hold only what the job may preempt without loss. A machine
+// for which this holds need not be kept for the job.
+func (c *Controller) HasSpareFor(machine *shard.Machine, job *protocol.Job) bool {
+	machineType := c.machineTypes[machine.Type]
+	if machineType == nil {
+		return false
+	}
+	spares := c.countSpares(machine, job.SingleZone)
+	needed := machineType.MachinesNeeded(job)
+	if !job.SingleZone {
+		return spares.withLowerName >= needed
+	}
+	if best := spares.bestZone(); best != machine.Zone {
+		return spares.byZone[best] >= needed
+	}
+	return spares.withLowerName >= needed
+}
+
+// spareMachines counts whole machines that are like a given one.
+type spareMachines struct {
+	byZone        map[string]int // all under "" if the zone does not matter
+	withLowerName int            // in the same zone as the given one, if that matters
+}
+
+// countSpares counts the whole machines of a machine's type and kind that shards report.
+func (c *Controller) countSpares(machine *shard.Machine, isByZone bool) spareMachines {
+	spares := spareMachines{byZone: map[string]int{}}
+	for _, status := range c.liveStatuses() {
+		for _, reported := range status.Shards {
+			for _, free := range reported.FreeCapacity {
+				if free.Reclaimable && free.Type == machine.Type && free.Spot == machine.Spot {
+					spares.add(free, machine, isByZone)
+				}
+			}
+		}
+	}
+	return spares
+}
+
+func (s *spareMachines) add(free *peermsg.FreeCapacity, machine *shard.Machine, isByZone bool) {
+	zone := ""
+	if isByZone {
+		zone = free.Zone
+	}
+	s.byZone[zone]++
+	if free.Machine < machine.ID && (zone == "" || zone == machine.Zone) {
+		s.withLowerName++
+	}
+}
+
+// bestZone is the zone with most machines, the first by name of those with as many.
+func (s *spareMachines) bestZone() string {
+	best := ""
+	for _, zone := range sortedKeys(s.byZone) {
+		if best == "" || s.byZone[zone] > s.byZone[best] {
+			best = zone
+		}
+	}
+	return best
+}
