--- /dev/null
+++ b/internal/controller/jobplacement.go
@@ -0,0 +1,176 @@
+package controller
+
+import (
+	"curlewspool/internal/dispatch"
+	"curlewspool/internal/election"
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// This file is the leader's choice of shards for each job, and the request for it.
+
+// placementTimeoutDivisor is the part of a status interval for which a submission waits for
+// the leader. Answers come within some milliseconds. (At a third of an interval, 220 ms,
+// the wait alone was longer than users of 200 ms allow for all.)
+const placementTimeoutDivisor = 12
+
+// teamHashModulus bounds the hash by which a team with a limit is given its shard. All
+// controllers and versions must agree on it.
+const teamHashModulus = 1 << 20
+
+// resetShardQueues forgets what shards reported of their queues.
+func (c *Controller) resetShardQueues() {
+	c.shardSlots = make([]dispatch.RankSlots, len(c.controllerNames))
+	for shardID := range c.shardSlots {
+		c.shardSlots[shardID] = dispatch.NewRankSlots(c.settings.Rank.Max)
+	}
+}
+
+// learnShardQueues takes what a status says of the queues of its shards. What is malformed,
+// as of a version with other ranks, is left out.
+func (c *Controller) learnShardQueues(status *peermsg.Status) {
+	for _, reported := range status.Shards {
+		shardID := int(reported.Shard)
+		if shardID < 0 || shardID >= len(c.shardSlots) {
+			continue
+		}
+		if len(reported.QueuedWork) != c.settings.Rank.Max+1 || len(reported.QueuedJobs) != len(reported.QueuedWork) {
+			continue
+		}
+		queue := dispatch.NewRankSlots(c.settings.Rank.Max)
+		copy(queue.Work, reported.QueuedWork)
+		for rank, jobs := range reported.QueuedJobs {
+			queue.Jobs[rank] = int(jobs)
+		}
+		c.shardSlots[shardID] = queue
+	}
+}
+
+// hasTeamLimit reports whether a job's team has a limit, so that all of it stays in one shard.
+func (c *Controller) hasTeamLimit(job *protocol.Job) bool {
+	team := c.settings.Team(job.Team)
+	return team != nil && team.Limited()
+}
+
+// placeJob ranks a job, cuts it into chunks of so many tasks and gives each chunk a shard.
+func (c *Controller) placeJob(job *protocol.Job) (rank, chunkSize int, shards []int) {
+	rank = c.ranker.Rank(job)
+	limited := c.hasTeamLimit(job)
+	maxChunks := 1
+	if job.Shape == protocol.ShapeArray && !job.SingleZone && !job.SpreadZones && !limited {
+		maxChunks = c.maxChunks(job)
+	}
+	chunkSize = (job.Tasks + maxChunks - 1) / maxChunks
+	shards = make([]int, (job.Tasks+chunkSize-1)/chunkSize)
+	if limited {
+		home := teamShard(job.Team, len(c.controllerNames))
+		for chunk := range shards {
+			shards[chunk] = home
+		}
+		return rank, chunkSize, shards
+	}
+	eligible := c.eligibleShards(job)
+	for chunk := range shards {
+		shardID := dispatch.ChooseShard(c.shardSlots, eligible, rank)
+		shards[chunk] = shardID
+		tasks := min(chunkSize, job.Tasks-chunk*chunkSize)
+		c.shardSlots[shardID].Add(rank, dispatch.WorkOf(job, tasks))
+	}
+	return rank, chunkSize, shards
+}
+
+// maxChunks is into how many chunks an array may be cut.
+func (c *Controller) maxChunks(job *protocol.Job) int {
+	limits := &c.settings.Dispatch
+	byShards := int(float64(len(c.controllerNames)) * limits.ChunksPerPart)
+	return max(1, min(byShards, job.Tasks/limits.ChunkMin))
+}
+
+// teamShard is the shard of all jobs of a team with a limit: a limit is kept by the one owner
+// that sees all the team's tasks.
+func teamShard(team string, shardCount int) int {
+	hash := 0
+	for _, character := range []byte(team) {
+		hash = (hash*31 + int(character)) % teamHashModulus
+	}
+	return hash % shardCount
+}
+
+// eligibleShards are the shards whose machines, were they empty, could hold the job; a gang as
+// a whole. If there is none, those that hold most of it, or all.
+func (c *Controller) eligibleShards(job *protocol.Job) []bool {
+	needed := 1
+	if job.Shape == protocol.ShapeGang {
+		needed = job.Tasks
+	}
+	capacity := c.capacityByShard(job, needed)
+	placeable := make([]int, len(capacity))
+	most := 0
+	for shardID := range capacity {
+		placeable[shardID] = min(shard.MaxPlaceable(job, capacity[shardID]), needed)
+		most = max(most, placeable[shardID])
+	}
+	eligible := make([]bool, len(capacity))
+	for shardID := range placeable {
+		eligible[shardID] = placeable[shardID] == most
+	}
+	return eligible
+}
+
+// capacityByShard counts, by shard and zone, the tasks of a job that empty machines could
+// hold, each machine up to maxPerMachine.
+func (c *Controller) capacityByShard(job *protocol.Job, maxPerMachine int) []map[string]int {
+	capacity := make([]map[string]int, len(c.controllerNames))
+	for shardID := range capacity {
+		capacity[shardID] = map[string]int{}
+	}
+	for _, machine := range c.machines {
+		if machine.Shard < 0 || machine.Shard >= len(capacity) {
+			continue
+		}
+		machineType := c.machineTypes[machine.Type]
+		if shard.CanRunOn(job, machineType, machine.Zone, machine.Spot) {
+			capacity[machine.Shard][machine.Zone] += machineType.TasksThatFit(job, maxPerMachine)
+		}
+	}
+	return capacity
+}
+
+// PlanShards asks the leader for a job's rank, chunk size and shards.
+//
+// Without a leader, or with a slow one, this controller chooses by what all owners reported
+// last, so that users need not wait for an election. At most one submission waits for a
+// leader that is gone: the next ones do not ask it until it is heard again.
+func (c *Controller) PlanShards(job *protocol.Job, done func(rank, chunkSize int, shards []int)) {
+	placeLocally := func() { done(c.placeJob(job)) }
+	if c.isLeader() {
+		placeLocally()
+		return
+	}
+	leader := c.registry.OwnerOf(election.LeaderKey)
+	member := c.peers[leader]
+	if member == nil || !c.isPeerAlive(leader) || member.unresponsive {
+		placeLocally()
+		return
+	}
+	c.lastPlacementRequestID++
+	id := c.lastPlacementRequestID
+	c.placementRequests[id] = func(answer *peermsg.PlacementResponse) {
+		shards := make([]int, len(answer.Shards))
+		for chunk, shardID := range answer.Shards {
+			shards[chunk] = int(shardID)
+		}
+		done(int(answer.Rank), int(answer.ChunkSize), shards)
+	}
+	request := &peermsg.PlacementRequest{Id: id, Job: protocol.Encode(job)}
+	c.env.Send(leader, &peermsg.Envelope{Body: &peermsg.Envelope_PlacementRequest{PlacementRequest: request}})
+	c.env.After(c.statusInterval()/placementTimeoutDivisor, func() {
+		if c.placementRequests[id] == nil {
+			return // answered
+		}
+		delete(c.placementRequests, id)
+		member.unresponsive = true
+		placeLocally()
+	})
+}
