--- /dev/null
+++ b/internal/controller/chunkoffload.go
@@ -0,0 +1,76 @@
+package controller
+
+import (
+	"log/slog"
+
+	"curlewspool/internal/election"
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/shard"
+)
+
+// This file takes orders that a chunk be lent to a partner cluster to the chunk's owner.
+
+// OrderLend hands an order to lend a chunk to the owner of the chunk's shard. It is dropped if
+// there is none: the broker orders again.
+func (c *Controller) OrderLend(order *shard.LendOrder) {
+	shardID := c.shardOfChunk(order)
+	if shardID < 0 {
+		return
+	}
+	switch owner := c.registry.OwnerOf(election.ShardKey(shardID)); owner {
+	case "":
+	case c.settings.Name:
+		c.executeLendOrder(order)
+	default:
+		offload := encodeLendOrder(order)
+		c.env.Send(owner, &peermsg.Envelope{Body: &peermsg.Envelope_ChunkOffload{ChunkOffload: offload}})
+	}
+}
+
+// shardOfChunk is the shard of an order's chunk; negative if the chunk is in none here.
+func (c *Controller) shardOfChunk(order *shard.LendOrder) int {
+	record := c.jobs[order.Job]
+	if record == nil || order.Chunk < 0 || order.Chunk >= len(record.ChunkShards) {
+		return shard.LentShard
+	}
+	return record.ChunkShards[order.Chunk]
+}
+
+// executeLendOrder has a shard that is owned here lend a chunk.
+func (c *Controller) executeLendOrder(order *shard.LendOrder) {
+	owned := c.ownedShard(c.shardOfChunk(order))
+	if owned == nil {
+		slog.Debug("controller: order to lend a chunk of a shard not owned here", "job", order.Job, "chunk", order.Chunk)
+		return
+	}
+	owned.LendChunk(order)
+}
+
+func encodeLendOrder(order *shard.LendOrder) *peermsg.ChunkOffload {
+	lent := &order.Lent
+	return &peermsg.ChunkOffload{
+		Job:         order.Job,
+		Chunk:       int32(order.Chunk),
+		ToCluster:   lent.Partner,
+		LeaderToken: lent.LeaderToken,
+		OfferId:     lent.OfferID,
+		Reason:      lent.Reason,
+		TermMs:      lent.TermMillis,
+		LeaseMs:     lent.LeaseMillis,
+	}
+}
+
+func decodeLendOrder(message *peermsg.ChunkOffload) *shard.LendOrder {
+	return &shard.LendOrder{
+		Job:   message.Job,
+		Chunk: int(message.Chunk),
+		Lent: shard.LentChunk{
+			Partner:     message.ToCluster,
+			LeaderToken: message.LeaderToken,
+			OfferID:     message.OfferId,
+			Reason:      message.Reason,
+			TermMillis:  message.TermMs,
+			LeaseMillis: message.LeaseMs,
+		},
+	}
+}
