--- a/internal/controller/chunkoffload.go
+++ b/internal/controller/chunkoffload.go
@@ -10,8 +10,8 @@
 
 // This file takes orders that a chunk be lent to a partner cluster to the chunk's owner.
 
-// OrderLend hands an order to lend a chunk to the owner of the chunk's shard. It is dropped if
-// there is none: the broker orders again.
+// OrderLend hands an order to lend a chunk to the owner of the chunk's shard; without an owner
+// the order is dropped.
 func (c *Controller) OrderLend(order *shard.LendOrder) {
 	shardID := c.shardOfChunk(order)
 	if shardID < 0 {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -13,10 +13,60 @@
 	"curlewspool/internal/shard"
 )
 
-// This file takes and gives up parts, as their keys say.
+// This file takes and gives up shards and the leadership, as their keys in the store say.
 
-// reclaimOwnKeys takes back, under new tokens, what this controller held before its
-// restart: its dead predecessor cannot act any more, so nothing is waited for.
+// ownerKeyPrefix begins the key of each shard's owner (see election.ShardKey).
+const ownerKeyPrefix = "a/o/"
+
+// shardOfKey is the shard of an owner key; false: the key names none of this cluster's.
+func (c *Controller) shardOfKey(key string) (shardID int, ok bool) {
+	shardID, err := strconv.Atoi(strings.TrimPrefix(key, ownerKeyPrefix))
+	return shardID, err == nil && shardID >= 0 && shardID < len(c.controllerNames)
+}
+
+// isLeader reports whether this controller is the leader and may act as such now.
+func (c *Controller) isLeader() bool {
+	return c.autoscaler != nil && c.registry.Holds(election.LeaderKey) && c.store.Lease.IsValid()
+}
+
+// ownedShard is a shard that this controller owns and may act for now; nil: it may not.
+func (c *Controller) ownedShard(shardID int) *shard.Shard {
+	owned := c.shards[shardID]
+	if owned == nil || !c.registry.Holds(election.ShardKey(shardID)) || !c.store.Lease.IsValid() {
+		return nil
+	}
+	return owned
+}
+
+// isReady reports whether this controller is able to act for the cluster.
+func (c *Controller) isReady() bool {
+	return c.store.IsLoaded() && c.store.Lease.IsValid() && !c.store.IsUnavailable() && len(c.machineTypes) > 0
+}
+
+// maintainOwnership takes back what this controller held before a restart, and claims the
+// leadership when it is free or its holder is absent.
+func (c *Controller) maintainOwnership() {
+	if !c.store.IsLoaded() || !c.store.Lease.IsValid() {
+		return
+	}
+	c.reclaimOwnKeys()
+	now := c.env.Now()
+	if now < c.nextClaimAt {
+		return
+	}
+	// The random part lets the previous leader, if it has just restarted, come back first.
+	c.nextClaimAt = now + c.statusInterval()/2 + time.Duration(c.env.Rand().Int64N(int64(c.statusInterval())))
+	switch leader := c.registry.OwnerOf(election.LeaderKey); {
+	case leader == "":
+		c.registry.Claim(election.LeaderKey, false)
+	case leader != c.settings.Name && c.isAbsent(leader):
+		slog.Info("controller: leader absent", "leader", leader)
+		c.registry.Claim(election.LeaderKey, true)
+	}
+}
+
+// reclaimOwnKeys takes back, under new fencing tokens, what this controller held before its
+// restart: its previous process cannot act any more, so there is nothing to wait for.
 func (c *Controller) reclaimOwnKeys() {
 	if !c.store.IsLoaded() || !c.store.Lease.IsValid() {
 		return
@@ -31,50 +81,50 @@
 	}
 }
 
+// onKeyAcquired is called when this controller has claimed a key. until is the time of day, in
+// seconds, up to which a previous owner may act.
 func (c *Controller) onKeyAcquired(key string, token uint64, until float64) {
 	if key == election.LeaderKey {
-		if c.autoscaler == nil {
-			c.autoscaler = autoscaler.New(c.env, c.settings, token)
-			c.resetShardQueues()
-			if c.federation != nil {
-				c.federation.StartLeadership(token)
-			}
-		}
+		c.startLeadership(token)
 		return
 	}
-	shardID, err := strconv.Atoi(strings.TrimPrefix(key, "a/o/"))
-	if err != nil || shardID < 0 || shardID >= len(c.controllerNames) {
+	shardID, ok := c.shardOfKey(key)
+	if !ok {
 		return
 	}
-	if p := c.shards[shardID]; p != nil {
-		p.RaiseToken(token)
+	if owned := c.shards[shardID]; owned != nil {
+		owned.RaiseToken(token)
 		return
 	}
-	// The cache may be older than the claim: the last writes of the owner
-	// before, such as which job may be on which machine, must be in it before
-	// anything is started. No write of his can follow the claim.
+	// The cache may be older than the claim: the last writes of the previous owner, such as
+	// which job may be on which machine, must be in it before anything is started. No
+	// write of that owner can follow the claim.
 	c.openAfterSync(shardID, key, token, c.env.Now()+c.previousOwnerTimeLeft(until))
 }
 
-// previousOwnerTimeLeft is for how long yet an owner before may answer workers: until a time
-// of day, by two clocks that may both be off, but no longer than a grant. Who
-// gave its key up has stopped; one whose grant ended at the state service had
-// renewed it, at the latest, when the key was taken from it.
+// startLeadership sets up the leader's duties, unless they are.
+func (c *Controller) startLeadership(token uint64) {
+	if c.autoscaler != nil {
+		return
+	}
+	c.autoscaler = autoscaler.New(c.env, c.settings, token)
+	c.resetShardQueues()
+	if c.federation != nil {
+		c.federation.StartLeadership(token)
+	}
+}
+
+// previousOwnerTimeLeft is for how long a previous owner may still answer machines: until a
+// time of day, by two clocks that may both be off, but no longer than a lease. An owner
+// that gave its key up has stopped; one whose lease expired at the store had renewed it, at
+// the latest, when the key was taken from it.
 func (c *Controller) previousOwnerTimeLeft(until float64) time.Duration {
 	left := env.Seconds(until - c.WallSeconds() + 2*c.settings.Deployment.SkewMs/1000)
 	return max(min(left, c.storeLeaseTTL()), 2*c.leaseRenewInterval())
 }
 
-// releaseShard gives a part up, unless an owner before may still answer its machines:
-// who takes a free part would not know of that.
-func (c *Controller) releaseShard(shardID int) bool {
-	if owned := c.shards[shardID]; owned != nil && c.env.Now() < owned.EarlierOwnerBound() {
-		return false
-	}
-	c.registry.Release(election.ShardKey(shardID))
-	return true
-}
-
+// openAfterSync opens a shard once the cache is known to be as new as the claim. Until bound,
+// a previous owner may answer the shard's machines.
 func (c *Controller) openAfterSync(shardID int, key string, token uint64, bound time.Duration) {
 	c.store.Sync(func(synced bool) {
 		if !c.registry.Holds(key) || c.registry.FencingToken(key) < token || c.shards[shardID] != nil {
@@ -88,8 +138,10 @@
 	})
 }
 
+// openShard starts a shard with all machines, jobs and progress that the cache has.
 func (c *Controller) openShard(shardID int, key string, token uint64, bound time.Duration) {
-	opened := shard.New(shardID, token, c, func() protocol.Condition { return c.registry.OwnershipCondition(key) }, bound)
+	guard := func() protocol.Condition { return c.registry.OwnershipCondition(key) }
+	opened := shard.New(shardID, token, c, guard, bound)
 	c.shards[shardID] = opened
 	for _, id := range sortedKeys(c.machines) {
 		opened.UpdateMachine(id, c.machines[id])
@@ -102,52 +154,28 @@
 	opened.Tick()
 }
 
+// onKeyLost is called when this controller no longer holds a key.
 func (c *Controller) onKeyLost(key string) {
 	if key == election.LeaderKey {
 		c.autoscaler = nil
 		return
 	}
-	if shardID, err := strconv.Atoi(strings.TrimPrefix(key, "a/o/")); err == nil {
-		if p := c.shards[shardID]; p != nil {
-			p.Close()
-			delete(c.shards, shardID)
-		}
+	shardID, ok := c.shardOfKey(key)
+	if !ok {
+		return
 	}
-}
-
-// ownedShard gives a part that this controller owns and may act for now.
-func (c *Controller) ownedShard(shardID int) *shard.Shard {
-	if owned := c.shards[shardID]; owned != nil && c.registry.Holds(election.ShardKey(shardID)) && c.store.Lease.IsValid() {
-		return owned
+	if closing := c.shards[shardID]; closing != nil {
+		closing.Close()
+		delete(c.shards, shardID)
 	}
-	return nil
-}
-
-func (c *Controller) isLeader() bool {
-	return c.autoscaler != nil && c.registry.Holds(election.LeaderKey) && c.store.Lease.IsValid()
-}
-
-// isReady: able to act for the service.
-func (c *Controller) isReady() bool {
-	return c.store.IsLoaded() && c.store.Lease.IsValid() && !c.store.IsUnavailable() && len(c.machineTypes) > 0
 }
 
-func (c *Controller) maintainOwnership() {
-	if !c.store.IsLoaded() || !c.store.Lease.IsValid() {
-		return
-	}
-	c.reclaimOwnKeys()
-	now := c.env.Now()
-	if now < c.nextClaimAt {
-		return
-	}
-	// Who has just started lets the one that led before come back first.
-	c.nextClaimAt = now + c.statusInterval()/2 + time.Duration(c.env.Rand().Int64N(int64(c.statusInterval())))
-	switch leader := c.registry.OwnerOf(election.LeaderKey); {
-	case leader == "":
-		c.registry.Claim(election.LeaderKey, false)
-	case leader != c.settings.Name && c.isAbsent(leader):
-		slog.Info("node: the leader is absent", "leader", leader)
-		c.registry.Claim(election.LeaderKey, true)
+// releaseShard gives a shard up; false if a previous owner may still answer its machines,
+// which whoever takes a free shard would not know of.
+func (c *Controller) releaseShard(shardID int) bool {
+	if owned := c.shards[shardID]; owned != nil && c.env.Now() < owned.EarlierOwnerBound() {
+		return false
 	}
+	c.registry.Release(election.ShardKey(shardID))
+	return true
 }
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -8,7 +8,6 @@
 
 	"curlewspool/internal/election"
 	"curlewspool/internal/kvstore"
-	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
@@ -154,7 +153,7 @@
 		if owner == "" || owner == c.settings.Name {
 			continue
 		}
-		if member := c.peers[owner]; member == nil || member.status.GetVersion() < peermsg.VersionDependencies {
+		if member := c.peers[owner]; member == nil || !member.supportsDependencies() {
 			return false
 		}
 	}
