--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -1,10 +1,11 @@
-// Package dependency follows which jobs wait for others. It derives from the records of
-// live jobs and from the ends of those they need whether a job waits, may be released, or
-// is withdrawn with one that it needs. Ends never change, so what is derived from them is
-// final as well, on every controller and after any restart; nothing of it is stored.
+// Package dependency keeps the dependency graph of jobs: which jobs wait for others. From the
+// records of live jobs and the outcomes of those they need it derives whether a job waits,
+// may be released, or is cancelled with one that it needs. Outcomes never change, so what is
+// derived from them is final as well, on every controller and after any restart; nothing of
+// it is stored.
 //
-// The graph does no input or output and has no clock. What it costs is in proportion to
-// the links of what changes.
+// The graph does no input or output and has no clock. The cost of a change is in proportion
+// to the edges of what changes.
 package dependency
 
 import (
@@ -15,21 +16,21 @@
 // Outcome is how a job ended.
 type Outcome int
 
-// Ends of a job.
+// Outcomes of a job.
 const (
-	OutcomeUnknown   Outcome = iota // it lives, or its end has not been read
+	OutcomeUnknown   Outcome = iota // it is live, or its outcome has not been read
 	OutcomeDone                     // all of its tasks are done, durably
 	OutcomeCancelled                // it was cancelled
 )
 
 // Terms are what a job passes on to those that it needs.
 type Terms struct {
-	Rank     int     // of priorities
+	Rank     int     // priority, higher is more urgent
 	DueAt    float64 // time of day by which it is to be done, in seconds; 0: none
 	Estimate float64 // of its run time, in seconds
 }
 
-// node is one that lives, or that a waiting one needs.
+// node is a job that waits, or that a waiting one needs.
 type node struct {
 	waiting    bool
 	needs      []string
@@ -37,127 +38,142 @@
 	dependents map[string]bool // waiting jobs that need it
 	outcome    Outcome
 	unmetCount int  // needed jobs that are not done
-	cancelled  bool // one that it needs, directly or through others, is withdrawn
+	cancelled  bool // a job that it needs, directly or through others, was cancelled
 }
 
-// Graph belongs to the owner's loop.
+// Graph is a dependency graph. It is not safe for concurrent use.
 type Graph struct {
 	isLive       func(id string) bool // whether a job's record is there
 	nodes        map[string]*node
-	unread       map[string]bool // needed, neither alive nor with a known end
-	ready        map[string]bool // waiting, all that they need is done
-	cancelled    map[string]bool // waiting, to be withdrawn
+	unread       map[string]bool // needed, neither live nor with a known outcome
+	ready        map[string]bool // waiting, and all that they need is done
+	cancelled    map[string]bool // waiting, and to be cancelled
 	waitingCount int
 }
 
-// NewGraph makes an empty graph; lives tells whether a job's record is there.
+// NewGraph returns an empty graph; isLive reports whether a job's record is there.
 func NewGraph(isLive func(id string) bool) *Graph {
-	return &Graph{isLive: isLive, nodes: map[string]*node{}, unread: map[string]bool{}, ready: map[string]bool{}, cancelled: map[string]bool{}}
+	return &Graph{
+		isLive:    isLive,
+		nodes:     map[string]*node{},
+		unread:    map[string]bool{},
+		ready:     map[string]bool{},
+		cancelled: map[string]bool{},
+	}
 }
 
+// nodeFor is the node of a job, which is added if there is none.
 func (g *Graph) nodeFor(id string) *node {
-	j := g.nodes[id]
-	if j == nil {
-		j = &node{dependents: map[string]bool{}}
-		g.nodes[id] = j
+	known := g.nodes[id]
+	if known == nil {
+		known = &node{dependents: map[string]bool{}}
+		g.nodes[id] = known
 	}
-	return j
+	return known
 }
 
-// Update takes the record of a job that lives: what it needs, whether it still waits, and
-// what it passes on.
+// Update takes the record of a live job: what it needs, whether it still waits, and what it
+// passes on.
 func (g *Graph) Update(id string, needs []string, waiting bool, terms Terms) {
 	if !waiting && g.nodes[id] == nil {
 		return // nobody needs it
 	}
-	j := g.nodeFor(id)
+	updated := g.nodeFor(id)
 	delete(g.unread, id)
 	switch {
-	case waiting && !j.waiting:
-		j.terms = terms
-		g.link(id, j, needs)
-	case !waiting && j.waiting:
-		g.unlink(id, j)
+	case waiting && !updated.waiting:
+		updated.terms = terms
+		g.link(id, updated, needs)
+	case !waiting && updated.waiting:
+		g.unlink(id, updated)
 		g.dropUnused(id)
 	}
 }
 
-// Remove is told that a job's record is gone: it has ended, whichever way.
+// Remove is called when a job's record is gone: it has ended, with whatever outcome.
 func (g *Graph) Remove(id string) {
-	j := g.nodes[id]
-	if j == nil {
+	removed := g.nodes[id]
+	if removed == nil {
 		return
 	}
-	g.unlink(id, j)
-	if len(j.dependents) > 0 && j.outcome == OutcomeUnknown {
+	g.unlink(id, removed)
+	if len(removed.dependents) > 0 && removed.outcome == OutcomeUnknown {
 		g.unread[id] = true
 	}
 	g.dropUnused(id)
 }
 
-// RecordOutcome takes how a job ended, which must be durable.
+// RecordOutcome takes how a job ended, which must be durable. The first outcome of a job
+// holds; jobs that no waiting one needs are ignored.
 func (g *Graph) RecordOutcome(id string, outcome Outcome) {
-	j := g.nodes[id]
-	if j == nil || j.outcome != OutcomeUnknown || outcome == OutcomeUnknown {
+	ended := g.nodes[id]
+	if ended == nil || ended.outcome != OutcomeUnknown || outcome == OutcomeUnknown {
 		return
 	}
-	j.outcome = outcome
+	ended.outcome = outcome
 	delete(g.unread, id)
-	for dependent := range j.dependents {
-		waiting := g.nodes[dependent]
+	for dependentID := range ended.dependents {
+		dependent := g.nodes[dependentID]
 		if outcome == OutcomeCancelled {
-			g.cancelCascade(dependent, waiting)
+			g.cancelCascade(dependentID, dependent)
 			continue
 		}
-		waiting.unmetCount--
-		if waiting.unmetCount == 0 && !waiting.cancelled {
-			g.ready[dependent] = true
+		dependent.unmetCount--
+		if dependent.unmetCount == 0 && !dependent.cancelled {
+			g.ready[dependentID] = true
 		}
 	}
 }
 
-func (g *Graph) link(id string, waiting *node, needs []string) {
-	waiting.waiting, waiting.needs, waiting.unmetCount = true, slices.Clone(needs), 0
+// link makes a job wait for those that it needs.
+func (g *Graph) link(id string, dependent *node, needs []string) {
+	dependent.waiting = true
+	dependent.needs = slices.Clone(needs)
+	dependent.unmetCount = 0
 	g.waitingCount++
-	cancelled := false
-	for _, need := range needs {
-		needed := g.nodeFor(need)
+	isCancelled := false
+	for _, neededID := range needs {
+		needed := g.nodeFor(neededID)
 		needed.dependents[id] = true
 		if needed.outcome != OutcomeDone {
-			waiting.unmetCount++
+			dependent.unmetCount++
+		}
+		if needed.outcome == OutcomeUnknown && !g.isLive(neededID) {
+			g.unread[neededID] = true
 		}
-		if needed.outcome == OutcomeUnknown && !g.isLive(need) {
-			g.unread[need] = true
+		if needed.outcome == OutcomeCancelled || needed.cancelled {
+			isCancelled = true
 		}
-		cancelled = cancelled || needed.outcome == OutcomeCancelled || needed.cancelled
 	}
 	switch {
-	case cancelled:
-		g.cancelCascade(id, waiting)
-	case waiting.unmetCount == 0:
+	case isCancelled:
+		g.cancelCascade(id, dependent)
+	case dependent.unmetCount == 0:
 		g.ready[id] = true
 	}
 }
 
-func (g *Graph) unlink(id string, waiting *node) {
-	if !waiting.waiting {
+// unlink ends the waiting of a job, if it waits.
+func (g *Graph) unlink(id string, dependent *node) {
+	if !dependent.waiting {
 		return
 	}
-	waiting.waiting = false
+	dependent.waiting = false
 	g.waitingCount--
 	delete(g.ready, id)
 	delete(g.cancelled, id)
-	for _, need := range waiting.needs {
-		delete(g.nodes[need].dependents, id)
-		if len(g.nodes[need].dependents) == 0 {
-			delete(g.unread, need)
+	for _, neededID := range dependent.needs {
+		needed := g.nodes[neededID]
+		delete(needed.dependents, id)
+		if len(needed.dependents) == 0 {
+			delete(g.unread, neededID)
 		}
-		g.dropUnused(need)
+		g.dropUnused(neededID)
 	}
-	waiting.needs = nil
+	dependent.needs = nil
 }
 
-// cancelCascade withdraws a waiting job and all that need it.
+// cancelCascade cancels a waiting job and all that need it.
 func (g *Graph) cancelCascade(id string, waiting *node) {
 	if waiting.cancelled {
 		return
@@ -165,22 +181,22 @@
 	waiting.cancelled = true
 	delete(g.ready, id)
 	g.cancelled[id] = true
-	for dependent := range waiting.dependents {
-		g.cancelCascade(dependent, g.nodes[dependent])
+	for dependentID := range waiting.dependents {
+		g.cancelCascade(dependentID, g.nodes[dependentID])
 	}
 }
 
-// dropUnused drops a job that does not wait and that no waiting one needs.
+// dropUnused drops the node of a job that does not wait and that no waiting one needs.
 func (g *Graph) dropUnused(id string) {
-	if j := g.nodes[id]; j != nil && !j.waiting && len(j.dependents) == 0 {
+	if known := g.nodes[id]; known != nil && !known.waiting && len(known.dependents) == 0 {
 		delete(g.nodes, id)
 		delete(g.unread, id)
 	}
 }
 
-// InheritedTerms is what a job takes over from those that wait for it, directly or through
-// others: the highest of their priorities, and when it must be done so that the longest way
-// from it to any of their deadlines is kept. false: none waits for it.
+// InheritedTerms is what a job inherits from those that wait for it, directly or through
+// others: the highest of their priorities, and when it must be done so that the longest
+// path from it to any of their deadlines is kept. false: none waits for it.
 func (g *Graph) InheritedTerms(id string) (Terms, bool) {
 	needed := g.nodes[id]
 	if needed == nil || len(needed.dependents) == 0 {
@@ -189,21 +205,23 @@
 	return g.inheritedTerms(needed, map[*node]Terms{}), true
 }
 
+// inheritedTerms computes what a node inherits; known holds what has been computed of others.
 func (g *Graph) inheritedTerms(needed *node, known map[*node]Terms) Terms {
 	if terms, ok := known[needed]; ok {
 		return terms
 	}
 	var inherited Terms
-	for id := range needed.dependents {
-		waiting := g.nodes[id]
-		if waiting.cancelled {
+	for dependentID := range needed.dependents {
+		dependent := g.nodes[dependentID]
+		if dependent.cancelled {
 			continue
 		}
-		above := g.inheritedTerms(waiting, known)
-		inherited.Rank = max(inherited.Rank, waiting.terms.Rank, above.Rank)
-		for _, due := range []float64{waiting.terms.DueAt, above.DueAt} {
-			if due > 0 && (inherited.DueAt == 0 || due-waiting.terms.Estimate < inherited.DueAt) {
-				inherited.DueAt = due - waiting.terms.Estimate
+		fromAbove := g.inheritedTerms(dependent, known)
+		inherited.Rank = max(inherited.Rank, dependent.terms.Rank, fromAbove.Rank)
+		for _, dueAt := range []float64{dependent.terms.DueAt, fromAbove.DueAt} {
+			startBy := dueAt - dependent.terms.Estimate
+			if dueAt > 0 && (inherited.DueAt == 0 || startBy < inherited.DueAt) {
+				inherited.DueAt = startBy
 			}
 		}
 	}
@@ -212,45 +230,54 @@
 }
 
 // Upstream lists what a waiting job needs, directly or through others.
-func (g *Graph) Upstream(id string) (ids []string) {
+func (g *Graph) Upstream(id string) []string {
+	if !g.IsWaiting(id) {
+		return nil
+	}
+	var upstream []string
 	seen := map[string]bool{}
 	var visit func(id string)
 	visit = func(id string) {
-		for _, need := range g.nodes[id].needs {
-			if !seen[need] {
-				seen[need], ids = true, append(ids, need)
-				visit(need)
+		for _, neededID := range g.nodes[id].needs {
+			if !seen[neededID] {
+				seen[neededID] = true
+				upstream = append(upstream, neededID)
+				visit(neededID)
 			}
 		}
 	}
-	if g.IsWaiting(id) {
-		visit(id)
-	}
-	return ids
+	visit(id)
+	return upstream
 }
 
-// IsWaiting tells whether a job waits for others.
-func (g *Graph) IsWaiting(id string) bool { j := g.nodes[id]; return j != nil && j.waiting }
+// IsWaiting reports whether a job waits for others.
+func (g *Graph) IsWaiting(id string) bool {
+	known := g.nodes[id]
+	return known != nil && known.waiting
+}
 
-// IsNeeded tells whether a waiting job needs it.
-func (g *Graph) IsNeeded(id string) bool { j := g.nodes[id]; return j != nil && len(j.dependents) > 0 }
+// IsNeeded reports whether a waiting job needs a job.
+func (g *Graph) IsNeeded(id string) bool {
+	known := g.nodes[id]
+	return known != nil && len(known.dependents) > 0
+}
 
-// IsCancelled tells whether a waiting job is withdrawn with one that it needs, by the ends
-// that are known.
+// IsCancelled reports whether a waiting job is cancelled with one that it needs, by the
+// outcomes that are known.
 func (g *Graph) IsCancelled(id string) bool { return g.cancelled[id] }
 
-// CancellationCause is the cancelled job with which a waiting one is withdrawn; "": it is not.
+// CancellationCause is the cancelled job with which a waiting one is cancelled; "": it is not.
 func (g *Graph) CancellationCause(id string) string {
 	if !g.IsCancelled(id) {
 		return ""
 	}
-	for _, need := range g.nodes[id].needs {
-		if g.nodes[need].outcome == OutcomeCancelled {
-			return need
+	for _, neededID := range g.nodes[id].needs {
+		if g.nodes[neededID].outcome == OutcomeCancelled {
+			return neededID
 		}
 	}
-	for _, need := range g.nodes[id].needs {
-		if cause := g.CancellationCause(need); cause != "" {
+	for _, neededID := range g.nodes[id].needs {
+		if cause := g.CancellationCause(neededID); cause != "" {
 			return cause
 		}
 	}
@@ -258,36 +285,38 @@
 }
 
 // UnmetNeeds lists what a waiting job needs and is not known to be done.
-func (g *Graph) UnmetNeeds(id string) (open []string) {
+func (g *Graph) UnmetNeeds(id string) []string {
 	if !g.IsWaiting(id) {
 		return nil
 	}
-	for _, need := range g.nodes[id].needs {
-		if g.nodes[need].outcome != OutcomeDone {
-			open = append(open, need)
+	var unmet []string
+	for _, neededID := range g.nodes[id].needs {
+		if g.nodes[neededID].outcome != OutcomeDone {
+			unmet = append(unmet, neededID)
 		}
 	}
-	return open
+	return unmet
 }
 
-// UnreadUpstream lists the jobs that a waiting one needs, directly or through others, whose ends
-// must be read before it is certain that it still waits.
-func (g *Graph) UnreadUpstream(id string) (ids []string) {
-	for _, need := range g.Upstream(id) {
-		if g.unread[need] {
-			ids = append(ids, need)
+// UnreadUpstream lists the jobs that a waiting one needs, directly or through others, whose
+// outcomes must be read before it is certain that it still waits.
+func (g *Graph) UnreadUpstream(id string) []string {
+	var unread []string
+	for _, neededID := range g.Upstream(id) {
+		if g.unread[neededID] {
+			unread = append(unread, neededID)
 		}
 	}
-	return ids
+	return unread
 }
 
-// Unread lists the jobs whose ends some waiting one needs to have read.
+// Unread lists, by name, the jobs whose outcomes some waiting one needs to have read.
 func (g *Graph) Unread() []string { return slices.Sorted(maps.Keys(g.unread)) }
 
-// Ready lists the waiting jobs that may be released.
+// Ready lists, by name, the waiting jobs that may be released.
 func (g *Graph) Ready() []string { return slices.Sorted(maps.Keys(g.ready)) }
 
-// Cancelled lists the waiting jobs that are to be withdrawn.
+// Cancelled lists, by name, the waiting jobs that are to be cancelled.
 func (g *Graph) Cancelled() []string { return slices.Sorted(maps.Keys(g.cancelled)) }
 
 // WaitingCount is the number of jobs that wait for others.
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -8,13 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// model is the same, worked out anew from all facts each time.
+// model computes what the graph should say anew from all facts each time.
 type model struct {
-	needs    map[string][]string // of jobs that live and wait
+	needs    map[string][]string // of jobs that are live and wait
 	live     map[string]bool
 	outcomes map[string]Outcome
 }
 
+func (m *model) isWaiting(id string) bool { return len(m.needs[id]) > 0 }
+
 func (m *model) isCancelled(id string) bool {
 	if m.outcomes[id] == OutcomeCancelled {
 		return true
@@ -26,100 +28,153 @@
 	return !slices.ContainsFunc(m.needs[id], func(need string) bool { return m.outcomes[need] != OutcomeDone })
 }
 
-// Whatever the order in which records and ends are told, how often, and after a restart in
-// which all records are told anew in any order: the same jobs are ready, withdrawn and
-// waiting as by the plain model, and nothing is kept that nobody needs.
-func TestGraphAgainstModel(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := &model{needs: map[string][]string{}, live: map[string]bool{}, outcomes: map[string]Outcome{}}
-		g := NewGraph(func(id string) bool { return m.live[id] })
-		all := map[string][]string{}
-		for i := range rapid.IntRange(3, 8).Draw(t, "jobs") {
-			id := fmt.Sprintf("wk-%d", i)
-			all[id] = nil
-			for k := max(0, i-3); k < i; k++ { // deep rather than wide
-				if rapid.Bool().Draw(t, "need") {
-					all[id] = append(all[id], fmt.Sprintf("wk-%d", k))
-				}
+// isKnown reports whether a job is live or has ended.
+func (m *model) isKnown(id string) bool { return m.live[id] || m.outcomes[id] != OutcomeUnknown }
+
+// graphTest plays the same steps on a graph and on the model.
+type graphTest struct {
+	t     *rapid.T
+	jobs  map[string][]string // what each job of the test needs
+	ids   []string            // of the jobs, by name
+	model *model
+	graph *Graph
+}
+
+// newGraphTest draws jobs and what they need.
+func newGraphTest(t *rapid.T) *graphTest {
+	test := &graphTest{
+		t:     t,
+		jobs:  map[string][]string{},
+		model: &model{needs: map[string][]string{}, live: map[string]bool{}, outcomes: map[string]Outcome{}},
+	}
+	test.graph = NewGraph(test.isLive)
+	for i := range rapid.IntRange(3, 8).Draw(t, "jobs") {
+		id := fmt.Sprintf("wk-%d", i)
+		test.ids = append(test.ids, id)
+		test.jobs[id] = nil
+		for k := max(0, i-3); k < i; k++ { // deep rather than wide
+			if rapid.Bool().Draw(t, "need") {
+				test.jobs[id] = append(test.jobs[id], fmt.Sprintf("wk-%d", k))
 			}
 		}
-		names := func(from map[string][]string) (ids []string) {
-			for id := range from {
-				ids = append(ids, id)
-			}
-			slices.Sort(ids)
-			return ids
+	}
+	return test
+}
+
+func (test *graphTest) isLive(id string) bool { return test.model.live[id] }
+
+// submit adds a job, unless it was submitted before or some that it needs was not: its user
+// submits it once those are accepted. A repeat of a waiting job changes nothing.
+func (test *graphTest) submit(id string) {
+	needs := test.jobs[id]
+	isUnknown := func(need string) bool { return !test.model.isKnown(need) }
+	isStarted := test.model.live[id] && !test.model.isWaiting(id)
+	if test.model.outcomes[id] != OutcomeUnknown || isStarted || slices.ContainsFunc(needs, isUnknown) {
+		return
+	}
+	test.model.live[id] = true
+	test.model.needs[id] = needs
+	test.graph.Update(id, needs, len(needs) > 0, Terms{})
+}
+
+// release releases a job if it waits and is ready.
+func (test *graphTest) release(id string) {
+	if !test.model.isWaiting(id) || !test.model.isReady(id) {
+		return
+	}
+	delete(test.model.needs, id)
+	test.graph.Update(id, test.jobs[id], false, Terms{})
+}
+
+// end ends a live job; its outcome becomes known before or after its record goes.
+func (test *graphTest) end(id string) {
+	if !test.model.live[id] {
+		return
+	}
+	outcome := rapid.SampledFrom([]Outcome{OutcomeDone, OutcomeCancelled}).Draw(test.t, "outcome")
+	if test.model.isWaiting(id) {
+		outcome = OutcomeCancelled
+	}
+	isOutcomeFirst := rapid.Bool().Draw(test.t, "outcome first")
+	if isOutcomeFirst {
+		test.graph.RecordOutcome(id, outcome)
+	}
+	delete(test.model.live, id)
+	delete(test.model.needs, id)
+	test.graph.Remove(id)
+	if !isOutcomeFirst {
+		test.graph.RecordOutcome(id, outcome)
+	}
+	test.model.outcomes[id] = outcome
+}
+
+// restart starts a new graph, which is given all records in any order.
+func (test *graphTest) restart() {
+	test.graph = NewGraph(test.isLive)
+	for _, id := range rapid.Permutation(test.ids).Draw(test.t, "order") {
+		if test.model.live[id] {
+			test.graph.Update(id, test.jobs[id], test.model.isWaiting(id), Terms{})
+		}
+	}
+}
+
+// readOutcomes gives the graph the outcomes that it needs to have read.
+func (test *graphTest) readOutcomes() {
+	for _, id := range test.graph.Unread() {
+		test.graph.RecordOutcome(id, test.model.outcomes[id])
+	}
+}
+
+// check compares the graph with the model.
+func (test *graphTest) check() {
+	for _, id := range test.ids {
+		isWaiting := test.model.isWaiting(id)
+		if got := test.graph.IsWaiting(id); got != isWaiting {
+			test.t.Fatalf("%s waits: %v, want %v", id, got, isWaiting)
+		}
+		if got, want := test.graph.IsCancelled(id), isWaiting && test.model.isCancelled(id); got != want {
+			test.t.Fatalf("%s is cancelled with another: %v, want %v", id, got, want)
+		}
+		if got, want := slices.Contains(test.graph.Ready(), id), isWaiting && test.model.isReady(id); got != want {
+			test.t.Fatalf("%s is ready: %v, want %v", id, got, want)
 		}
-		waits := func(id string) bool { return len(m.needs[id]) > 0 }
+	}
+	if unread := test.graph.Unread(); len(unread) > 0 {
+		test.t.Fatalf("%v are to be read, though all outcomes were", unread)
+	}
+	if len(test.model.needs) == 0 && test.graph.WaitingCount() == 0 && len(test.graph.nodes) > 0 {
+		test.t.Fatalf("%d jobs are kept though none waits", len(test.graph.nodes))
+	}
+}
+
+// TestGraphAgainstModel: whatever the order in which records and outcomes become known, how
+// often, and after a restart in which all records are read anew in any order, the same jobs
+// are ready, cancelled and waiting as by the plain model, and nothing is kept that nobody
+// needs.
+func TestGraphAgainstModel(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		test := newGraphTest(t)
 		for range rapid.IntRange(20, 80).Draw(t, "steps") {
-			id := rapid.SampledFrom(names(all)).Draw(t, "id")
+			id := rapid.SampledFrom(test.ids).Draw(t, "id")
 			switch rapid.SampledFrom([]string{"submit", "release", "end", "end", "restart"}).Draw(t, "step") {
 			case "submit":
-				known := !slices.ContainsFunc(all[id], func(need string) bool { return !m.live[need] && m.outcomes[need] == OutcomeUnknown })
-				if m.outcomes[id] != OutcomeUnknown || m.live[id] && !waits(id) || !known {
-					continue // its user submits it once those it needs are accepted; a repeat changes nothing
-				}
-				m.live[id], m.needs[id] = true, all[id]
-				g.Update(id, all[id], len(all[id]) > 0, Terms{})
+				test.submit(id)
 			case "release":
-				if !waits(id) || !m.isReady(id) {
-					continue
-				}
-				delete(m.needs, id)
-				g.Update(id, all[id], false, Terms{})
+				test.release(id)
 			case "end":
-				if !m.live[id] {
-					continue
-				}
-				end := rapid.SampledFrom([]Outcome{OutcomeDone, OutcomeCancelled}).Draw(t, "end")
-				if waits(id) {
-					end = OutcomeCancelled
-				}
-				first := rapid.Bool().Draw(t, "end first")
-				if first {
-					g.RecordOutcome(id, end)
-				}
-				delete(m.live, id)
-				delete(m.needs, id)
-				g.Remove(id)
-				if !first {
-					g.RecordOutcome(id, end)
-				}
-				m.outcomes[id] = end
+				test.end(id)
 			case "restart":
-				g = NewGraph(func(id string) bool { return m.live[id] })
-				for _, id := range rapid.Permutation(names(all)).Draw(t, "order") {
-					if m.live[id] {
-						g.Update(id, all[id], waits(id), Terms{})
-					}
-				}
-			}
-			for _, id := range g.Unread() {
-				g.RecordOutcome(id, m.outcomes[id])
-			}
-			for _, id := range names(all) {
-				if got, want := g.IsWaiting(id), waits(id); got != want {
-					t.Fatalf("%s waits: %v, want %v", id, got, want)
-				}
-				if got, want := g.IsCancelled(id), waits(id) && m.isCancelled(id); got != want {
-					t.Fatalf("%s is withdrawn with another: %v, want %v", id, got, want)
-				}
-				if got, want := slices.Contains(g.Ready(), id), waits(id) && m.isReady(id); got != want {
-					t.Fatalf("%s is ready: %v, want %v", id, got, want)
-				}
-			}
-			if unread := g.Unread(); len(unread) > 0 {
-				t.Fatalf("%v are to be read, all ends were told", unread)
-			}
-			if len(m.needs) == 0 && g.WaitingCount() == 0 && len(g.nodes) > 0 {
-				t.Fatalf("%d jobs are kept though none waits", len(g.nodes))
+				test.restart()
 			}
+			test.readOutcomes()
+			test.check()
 		}
 	})
 }
 
-// An end that is not known is to be read, for the job itself and for all that need it
-// through others; a chain of a thousand is withdrawn by the end of its root.
+// TestUnreadOutcomesAndLongChains: an outcome that is not known is to be read, for the job
+// itself and for all that need it through others; a chain of a thousand is cancelled by the
+// cancellation of its root.
 func TestUnreadOutcomesAndLongChains(t *testing.T) {
 	live := map[string]bool{"wk-0": true}
 	g := NewGraph(func(id string) bool { return live[id] })
@@ -138,16 +193,16 @@
 	}
 	g.RecordOutcome("wk-0", OutcomeCancelled)
 	if got := g.CancellationCause("wk-1000"); got != "wk-0" {
-		t.Errorf("the last is withdrawn with %q", got)
+		t.Errorf("the last is cancelled with %q", got)
 	}
 	if n := len(g.Cancelled()); n != 1000 || len(g.Unread()) > 0 {
-		t.Errorf("%d of 1000 are withdrawn with the root", n)
+		t.Errorf("%d of 1000 are cancelled with the root", n)
 	}
 }
 
-// A first stage takes over the highest priority of those that wait for it, and the latest
-// moment at which it can be done so that the longest way to the last one's deadline is kept;
-// less, when a later stage is cancelled.
+// TestInheritedTerms: a first stage inherits the highest priority of those that wait for it,
+// and the latest moment at which it can be done so that the longest path to the last one's
+// deadline is kept; less, when a later stage is cancelled.
 func TestInheritedTerms(t *testing.T) {
 	g := NewGraph(func(string) bool { return true })
 	if _, ok := g.InheritedTerms("wk-first"); ok {
@@ -156,7 +211,11 @@
 	g.Update("wk-left", []string{"wk-first"}, true, Terms{Rank: 0, Estimate: 20})
 	g.Update("wk-right", []string{"wk-first"}, true, Terms{Rank: 1, Estimate: 50})
 	g.Update("wk-last", []string{"wk-left", "wk-right"}, true, Terms{Rank: 2, DueAt: 1000, Estimate: 10})
-	for id, want := range map[string]Terms{"wk-first": {Rank: 2, DueAt: 940}, "wk-right": {Rank: 2, DueAt: 990}, "wk-left": {Rank: 2, DueAt: 990}} {
+	for id, want := range map[string]Terms{
+		"wk-first": {Rank: 2, DueAt: 940},
+		"wk-right": {Rank: 2, DueAt: 990},
+		"wk-left":  {Rank: 2, DueAt: 990},
+	} {
 		if got, ok := g.InheritedTerms(id); !ok || got != want {
 			t.Errorf("%s inherits %+v, want %+v", id, got, want)
 		}
