--- a/internal/controller/keychanges.go
+++ b/internal/controller/keychanges.go
@@ -12,7 +12,7 @@
 
 // Prefixes of the cached keys. The rosters' prefix is rosterKeyPrefix.
 const (
-	ownerKeyPrefix    = "a/o/"
+	ownerKeyPrefix    = "a/o/" // of each shard and of the leader, see election.ShardKey
 	livenessKeyPrefix = "a/h/"
 	jobKeyPrefix      = "a/j/"
 	progressKeyPrefix = "a/p/"
