--- a/internal/autoscaler/arrivals.go
+++ b/internal/autoscaler/arrivals.go
@@ -6,66 +6,84 @@
 	"curlewspool/internal/protocol"
 )
 
-// ArrivalRate follow how much work of spot jobs comes in, by rank: what waits with
-// a low rank shares the machines not only with what waits beside it, but with
-// all of a higher rank that will have come before it starts.
+const (
+	// bucketCount is how many steps the rate is taken over. The two after each other in
+	// which most came are left out: a rush at the start of a day, or one large array, is
+	// a queue, which is counted as such, and says nothing of what is to come. (With one
+	// left out, a rush that fell across two steps had hundreds of machines rented for
+	// what never came: a price of 3.2 for one of 2.2.)
+	bucketCount = 12
+	// averagedBuckets are those that the rate is the average of: all but the current one
+	// and the two with most.
+	averagedBuckets = bucketCount - 3
+	// rankCount is the number of users' priorities.
+	rankCount = 4
+)
+
+// ArrivalRate follows how much work of spot jobs is submitted, by rank. What waits with a
+// low rank shares the machines not only with what waits beside it, but with all of a
+// higher rank that will have been submitted before it starts.
 type ArrivalRate struct {
-	bucketLength time.Duration // length of a bucket
-	buckets      [bucketCount]arrivalBucket
+	bucketLength time.Duration
+	buckets      [bucketCount]arrivalBucket // a ring
 }
 
-// bucketCount is how many steps the rate is taken over. The two after each other in
-// which most came are left out: a rush at the start of a day, or one large array,
-// is a queue, which is counted as such, and says nothing of what is to come.
-// (With one left out, a rush that fell across two steps had hundreds of machines
-// rented for what never came: a price of 3.2 for one of 2.2.)
-const bucketCount = 12
-
+// arrivalBucket is what was submitted in one step of time.
 type arrivalBucket struct {
-	number            int64              // which step it is
-	coreSecondsByRank [rankCount]float64 // core-seconds that came in it
+	number            int64 // of the step, counted from the epoch
+	coreSecondsByRank [rankCount]float64
 }
 
-// rankCount is the number of users' priorities.
-const rankCount = 4
+// coreSecondsAbove is the work of the ranks above the given one.
+func (b *arrivalBucket) coreSecondsAbove(rank int) float64 {
+	sum := 0.0
+	for higher := max(rank+1, 0); higher < rankCount; higher++ {
+		sum += b.coreSecondsByRank[higher]
+	}
+	return sum
+}
 
-// NewArrivalRate remembers what came in the given time.
+// NewArrivalRate takes the rate over the given time.
 func NewArrivalRate(span time.Duration) *ArrivalRate {
 	return &ArrivalRate{bucketLength: max(span/bucketCount, time.Millisecond)}
 }
 
-// Record takes a job that was accepted at the given time, which may be long ago.
-// Times are of day: what was accepted before a restart counts.
-func (a *ArrivalRate) Record(j *protocol.Job, at, now time.Duration) {
-	n := int64(at / a.bucketLength)
-	if !j.AllowSpot || n > int64(now/a.bucketLength) || n <= int64(now/a.bucketLength)-bucketCount {
+// Record takes a job that was accepted at the given time, which may be long ago. Both
+// times are times of day, so that what was accepted before a restart counts.
+func (a *ArrivalRate) Record(job *protocol.Job, acceptedAt, now time.Duration) {
+	number, current := int64(acceptedAt/a.bucketLength), int64(now/a.bucketLength)
+	if !job.AllowSpot || number > current || number <= current-bucketCount {
 		return
 	}
-	s := &a.buckets[n%bucketCount]
-	if s.number > n {
+	bucket := a.bucket(number)
+	if bucket.number > number {
 		return
 	}
-	if s.number != n {
-		*s = arrivalBucket{number: n}
+	if bucket.number != number {
+		*bucket = arrivalBucket{number: number}
 	}
-	s.coreSecondsByRank[min(max(j.Priority, 0), rankCount-1)] += float64(j.Tasks) * max(j.Cores, j.GPUs) * max(j.Estimate, 1)
+	rank := min(max(job.Priority, 0), rankCount-1)
+	bucket.coreSecondsByRank[rank] += float64(job.Tasks) * max(job.Cores, job.GPUs) * max(job.Estimate, 1)
+}
+
+// bucket is the place in the ring of a step, which may hold another one's work.
+func (a *ArrivalRate) bucket(number int64) *arrivalBucket {
+	return &a.buckets[(number%bucketCount+bucketCount)%bucketCount]
 }
 
-// CoresAboveRank is how many cores the work of ranks above the given one takes that
-// comes at the pace of late.
+// CoresAboveRank is how many cores the work of ranks above the given one takes that is
+// submitted at the recent rate.
 func (a *ArrivalRate) CoresAboveRank(rank int, now time.Duration) float64 {
-	last := int64(now / a.bucketLength)
-	sum, most, before := 0.0, 0.0, 0.0
-	for n := last - bucketCount + 1; n < last; n++ { // the step under way is not over
-		w := 0.0
-		if s := &a.buckets[(n%bucketCount+bucketCount)%bucketCount]; s.number == n {
-			for r := max(rank+1, 0); r < rankCount; r++ {
-				w += s.coreSecondsByRank[r]
-			}
+	current := int64(now / a.bucketLength)
+	sum, largestPair, previous := 0.0, 0.0, 0.0
+	for number := current - bucketCount + 1; number < current; number++ {
+		work := 0.0
+		if bucket := a.bucket(number); bucket.number == number {
+			work = bucket.coreSecondsAbove(rank)
 		}
-		sum += w
-		most = max(most, before+w)
-		before = w
+		sum += work
+		largestPair = max(largestPair, previous+work)
+		previous = work
 	}
-	return (sum - most) / (float64(bucketCount-3) * a.bucketLength.Seconds())
+	return (sum - largestPair) / (averagedBuckets * a.bucketLength.Seconds())
 }
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,5 +1,7 @@
-// Package fleet deals with the cloud for the leader: what to rent for work
-// that found no room, and what to delete.
+// Package autoscaler is the leader's side of the cloud interface (PROTOCOL, "Controller
+// nodes -> cloud"). It scales out, by renting machines for work that no shard can place;
+// it scales in, by deleting machines that their shards have retired, that failed or that
+// never came up; and it follows the cloud's list of machines.
 package autoscaler
 
 import (
@@ -14,152 +16,172 @@
 	"curlewspool/internal/shard"
 )
 
-// UnplacedWork is queued work without room.
+// UnplacedWork is a queued job, or a part of one, that its shard has no capacity for.
 type UnplacedWork struct {
-	Job             *protocol.Job
-	Tasks           int
-	WaitedSeconds   float64   // since its submission
-	StartsInSeconds float64   // seconds until it is expected to start where it waits; 0: not known
-	DeadlineSeconds []float64 // seconds after submission by which it should be done, rising
-	// FreeSlotsByZone, of a gang, is how many of its tasks would start in each zone now, in its part.
+	Job   *protocol.Job
+	Tasks int // that wait
+	// WaitedSeconds is the time since the job was submitted.
+	WaitedSeconds float64
+	// StartsInSeconds is when the work is expected to start without new machines; 0: unknown.
+	StartsInSeconds float64
+	// DeadlineSeconds lists the times after submission by which the job should be done, rising.
+	DeadlineSeconds []float64
+	// FreeSlotsByZone counts, for a gang bound to zones, its tasks that could start now in
+	// its shard.
 	FreeSlotsByZone map[string]int
 }
 
-// RunningLoad is what runs now, of spot jobs and of others.
+// cores is what the waiting tasks take together. A GPU weighs as much as a core.
+func (u *UnplacedWork) cores() float64 {
+	return float64(u.Tasks) * max(u.Job.Cores, u.Job.GPUs)
+}
+
+// estimateSeconds is the estimated run time of a task, at least a second.
+func (u *UnplacedWork) estimateSeconds() float64 { return max(u.Job.Estimate, 1) }
+
+// RunningLoad is what runs now.
 type RunningLoad struct {
-	SpotCoreSeconds  float64 // cores times run time that spot jobs may still take
-	OnDemandCores    float64 // that other jobs hold
-	UnreachableCores float64 // cores of machines that hear nothing
+	SpotCoreSeconds  float64 // cores times the run time that spot jobs may still take
+	OnDemandCores    float64 // cores that jobs hold which may not use spot machines
+	UnreachableCores float64 // cores of machines behind an inbound partition
 }
 
-// KnownMachine is a machine with a record.
+// KnownMachine is a machine that has a record in the key-value store.
 type KnownMachine struct {
 	ID     string
 	Record *shard.MachineRecord
 }
 
-// Autoscaler belongs to the leader; a new leader starts an empty one and learns
-// what boots from the cloud's list.
+// ClusterState is what one round of reconciliation starts from.
+type ClusterState struct {
+	MachineTypes map[string]*protocol.MachineType
+	Machines     []KnownMachine
+	Retiring     map[string]bool // machines that their shards want deleted
+	Unplaced     []UnplacedWork
+	Running      RunningLoad
+	// ExpectedCores is how many cores the spot work of higher ranks than the given one
+	// will take that has yet to be submitted.
+	ExpectedCores func(rank int) float64
+}
+
+// records indexes the machine records by machine.
+func (s *ClusterState) records() map[string]*shard.MachineRecord {
+	records := make(map[string]*shard.MachineRecord, len(s.Machines))
+	for _, machine := range s.Machines {
+		records[machine.ID] = machine.Record
+	}
+	return records
+}
+
+// Callbacks report what the cloud said. Both run on the controller's event loop.
+type Callbacks struct {
+	Listed  func(machines []protocol.ListedMachine) // a complete list of machines was read
+	Deleted func(ids []string)                      // these machines are gone for certain
+}
+
+// Autoscaler belongs to the leader. A new leader starts an empty one and learns from the
+// cloud's list which machines are booting.
 type Autoscaler struct {
 	env           env.Environment
 	settings      *settings.Settings
 	cloudAddress  string
-	requestPrefix string // prefix of request names, never used before
+	requestPrefix string // of the names of rental requests; never used before
 	requestCount  int
 
 	machineTypes map[string]*protocol.MachineType
 	booting      map[string]bootingMachine
-	overdue      map[string]bool // of them, those that are overdue
-	deletedAt    map[string]time.Duration
-	unanswered   []*unansweredRental // rentals without answer: asked again under their name
-	backoffs     map[offering]backoff
-	lastListed   map[string]time.Duration // machines: when last listed
-
-	budget          float64
-	budgetUpdated   time.Duration
-	lastListing     time.Duration
-	isListing       bool
-	listed          []protocol.ListedMachine
-	rentalsInFlight int
+	overdue      map[string]bool // see findOverdue
+
+	deletedAt       map[string]time.Duration // machines whose deletion the cloud confirmed
+	pendingDeletion map[string]bool          // listed machines to be deleted
 	isDeleting      bool
+
+	unanswered      []*unansweredRental // repeated under their names
+	backoffs        map[offering]backoff
+	rentalsInFlight int
 	onDemandSurplus bool
-	expectedCores   func(rank int) float64
-}
 
-type bootingMachine struct {
-	offering
-	requestedAt  time.Duration
-	foundRunning bool // up already when it was first listed, so not known to be rented
-}
+	lastListed  map[string]time.Duration // by machine
+	lastListing time.Duration            // when the latest listing began
+	isListing   bool
+	listed      []protocol.ListedMachine // the pages read so far
 
-// New makes the fleet of a leader; token makes its request names unique.
-func New(w env.Environment, s *settings.Settings, token uint64) *Autoscaler {
-	return &Autoscaler{env: w, settings: s, cloudAddress: s.Services.Cloud, requestPrefix: fmt.Sprintf("r-%s-%d", s.Name, token),
-		booting: map[string]bootingMachine{}, deletedAt: map[string]time.Duration{}, backoffs: map[offering]backoff{}, lastListed: map[string]time.Duration{},
-		budget: s.Deployment.Cloud.RPS, lastListing: -time.Hour, expectedCores: func(int) float64 { return 0 }}
+	requestBudget float64
+	budgetUpdated time.Duration
 }
 
-// IsDeleted tells whether the machine was deleted for certain.
-func (f *Autoscaler) IsDeleted(id string) bool { return f.deletedAt[id] != 0 }
-
-// MayHaveRented tells whether the machine is known to have been rented, by this
-// leader or, from the list while it booted, by an earlier one; or may have
-// been, by a rental whose answer is missing.
-func (f *Autoscaler) MayHaveRented(id string) bool {
-	if b, ok := f.booting[id]; ok {
-		return !b.foundRunning
+// New makes the autoscaler of a leader, whose fencing token makes the names of its
+// rental requests unique.
+func New(environment env.Environment, settings *settings.Settings, fencingToken uint64) *Autoscaler {
+	return &Autoscaler{
+		env:             environment,
+		settings:        settings,
+		cloudAddress:    settings.Services.Cloud,
+		requestPrefix:   fmt.Sprintf("r-%s-%d", settings.Name, fencingToken),
+		booting:         map[string]bootingMachine{},
+		deletedAt:       map[string]time.Duration{},
+		pendingDeletion: map[string]bool{},
+		backoffs:        map[offering]backoff{},
+		lastListed:      map[string]time.Duration{},
+		lastListing:     -time.Hour,
+		requestBudget:   settings.Deployment.Cloud.RPS,
 	}
-	return f.requestCount > 0 || len(f.unanswered) > 0
 }
 
-func (f *Autoscaler) takeRequestBudget() bool {
-	now := f.env.Now()
-	rate := f.settings.Deployment.Cloud.RPS / 2
-	f.budget = min(rate*2, f.budget+rate*(now-f.budgetUpdated).Seconds())
-	f.budgetUpdated = now
-	if f.budget < 1 {
-		return false
+// Reconcile runs one round: it deletes, lists and rents machines as the state of the
+// cluster asks for. Requests are sent within the cloud's rate limit; what finds no place
+// in it is left to the next round.
+func (a *Autoscaler) Reconcile(state *ClusterState, callbacks Callbacks) {
+	now := a.env.Now()
+	a.machineTypes = state.MachineTypes
+	for _, machine := range state.Machines {
+		delete(a.booting, machine.ID)
 	}
-	f.budget--
-	return true
+	records := state.records()
+	a.deleteMachines(records, state.Retiring, now, callbacks.Deleted)
+	a.refreshInventory(records, now, callbacks.Listed)
+	a.overdue = a.findOverdue(len(state.Machines), now)
+	a.scaleOut(state, now)
 }
 
-const cloudTimeout = 4 * time.Second
-
-// Reconcile rents, lists and deletes. retiring are the machines that their owners
-// want deleted; coming is how many cores the spot work of higher ranks than one
-// will take that has yet to come; found is told each list, forget machines that
-// are surely gone.
-func (f *Autoscaler) Reconcile(types map[string]*protocol.MachineType, known []KnownMachine, retiring map[string]bool, gaps []UnplacedWork, busy RunningLoad,
-	coming func(rank int) float64, found func([]protocol.ListedMachine), forget func(ids []string)) {
-	f.machineTypes, f.expectedCores = types, coming
-	now := f.env.Now()
-	records := map[string]*shard.MachineRecord{}
-	for _, k := range known {
-		records[k.ID] = k.Record
-		delete(f.booting, k.ID)
-	}
-	f.deleteMachines(records, retiring, now, forget)
-	f.refreshInventory(records, now, found)
-	f.overdue = f.findOverdue(len(known), now)
-	f.scaleOut(known, retiring, gaps, busy, now)
+// IsDeleted tells whether the cloud has confirmed that the machine is deleted.
+func (a *Autoscaler) IsDeleted(id string) bool {
+	_, deleted := a.deletedAt[id]
+	return deleted
 }
 
-// HasOnDemandSurplus tells that spot jobs are in time without ordinary machines that were
-// rented: those take no more of them, empty, and are returned.
-func (f *Autoscaler) HasOnDemandSurplus() bool { return f.onDemandSurplus }
-
-// AddBootCosts adds what the machines that boot cost in a time: those that are in time, and
-// those that are overdue (see longBoot), whether they come after all or never.
-func (f *Autoscaler) AddBootCosts(took time.Duration, to shard.CostByCause) {
-	now := f.env.Now()
-	for _, b := range f.booting {
-		t := f.machineTypes[b.typeName]
-		if t == nil || b.foundRunning {
-			continue
-		}
-		cause := "boot"
-		if b.isOverdue(t, now) {
-			cause = "overdue"
-		}
-		to[cause] += t.HourlyPrice(b.spot) * took.Hours()
+// MayHaveRented tells whether the machine is known to have been rented, by this leader
+// or, from the list while it booted, by an earlier one; or whether it may have been, by
+// a rental of this leader.
+func (a *Autoscaler) MayHaveRented(id string) bool {
+	if machine, ok := a.booting[id]; ok {
+		return !machine.foundRunning
 	}
+	return a.requestCount > 0 || len(a.unanswered) > 0
 }
 
-// bootingMachineIDs lists the machines that boot in the order of their names: sums over them
-// are rounded alike in every run.
-func (f *Autoscaler) bootingMachineIDs() []string { return slices.Sorted(maps.Keys(f.booting)) }
-
-// BootingCapacity is how many cores boot, and in how many seconds they should be up, on
-// average.
-func (f *Autoscaler) BootingCapacity() (cores, in float64) {
-	now, sum := f.env.Now(), 0.0
-	for _, id := range f.bootingMachineIDs() {
-		b := f.booting[id]
-		if t := f.machineTypes[b.typeName]; t != nil && !f.overdue[id] {
-			cores += t.Cores
-			sum += t.Cores * max(0, t.BootSeconds-(now-b.requestedAt).Seconds())
-		}
+// HasOnDemandSurplus tells whether spot jobs meet their deadlines without the on-demand
+// machines that were rented. Such machines then take no more spot jobs and are returned
+// when they are empty.
+func (a *Autoscaler) HasOnDemandSurplus() bool { return a.onDemandSurplus }
+
+// budgetSeconds is how much of the request budget can be saved up.
+const budgetSeconds = 2
+
+// takeRequestBudget takes one request to the cloud out of the leader's half of the rate
+// limit. It returns false if none is left now.
+func (a *Autoscaler) takeRequestBudget() bool {
+	now := a.env.Now()
+	rate := a.settings.Deployment.Cloud.RPS / 2
+	a.requestBudget = min(rate*budgetSeconds, a.requestBudget+rate*(now-a.budgetUpdated).Seconds())
+	a.budgetUpdated = now
+	if a.requestBudget < 1 {
+		return false
 	}
-	return cores, sum / max(cores, 1)
+	a.requestBudget--
+	return true
 }
+
+// bootingMachineIDs lists the booting machines in the order of their names, so that sums
+// over them are rounded alike in every run.
+func (a *Autoscaler) bootingMachineIDs() []string { return slices.Sorted(maps.Keys(a.booting)) }
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -4,144 +4,161 @@
 	"math"
 	"sort"
 	"time"
-
-	"curlewspool/internal/protocol"
 )
 
-// This file works out how many machines the work that is there will take, and what of
-// that is booting already.
-
-// boots of the usual length take up to this many times the type's boot time
-// (PROTOCOL, "Controller nodes -> cloud"). What takes longer takes several times as
-// long, or never comes up.
-const overdueFactor = 1.5
+// This file estimates whether spot jobs need on-demand machines to meet their deadlines.
 
-// isOverdue: it takes longer than machines of its type usually do.
-func (b *bootingMachine) isOverdue(t *protocol.MachineType, now time.Duration) bool {
-	return (now - b.requestedAt).Seconds() > overdueFactor*t.BootSeconds
-}
+// estimateReserve is by how much a run time may exceed its estimate, as a factor.
+const estimateReserve = 1.25
 
-// overdueSurcharge is how much dearer an option may be whose machines come up in time.
-const overdueSurcharge = 0.25
-
-// findOverdue lists machines that take longer to boot than machines usually do. They
-// count for nothing until they come, and what waits for them is rented anew: they
-// come too late or never. Those that come after all are used like any other, or
-// returned. Not more of them than a quarter of what is up, the oldest first: where
-// most are late, the next would be, too, and would only be paid for as well.
-func (f *Autoscaler) findOverdue(up int, now time.Duration) map[string]bool {
-	var ids []string
-	for id, b := range f.booting {
-		if t := f.machineTypes[b.typeName]; t != nil && b.isOverdue(t, now) {
-			ids = append(ids, id)
-		}
-	}
-	sort.Slice(ids, func(i, k int) bool {
-		a, b := f.booting[ids[i]].requestedAt, f.booting[ids[k]].requestedAt
-		return a < b || a == b && ids[i] < ids[k]
-	})
-	out := map[string]bool{}
-	for _, id := range ids[:min(len(ids), max(2, up/4))] {
-		out[id] = true
-	}
-	return out
-}
+// usefulBootFactor: a machine must be there for at least this many of its boot times from
+// its rental until the work is due, so that it is up for half of that time.
+const usefulBootFactor = 2
 
-// spotDemand is what waits in all, against what could take it.
+// spotDemand is what waits of spot jobs, against the capacity that could take it.
 type spotDemand struct {
-	waitingCores    float64     // that waiting tasks of spot jobs take
-	onDemandSurplus bool        // they are in time without the ordinary machines rented
-	shortfalls      []shortfall // what is late without more of them
-	rentedCores     float64     // cores that this round rents
+	waitingCores float64 // that the waiting tasks take
+	// onDemandSurplus: the jobs are in time without the on-demand machines rented.
+	onDemandSurplus bool
+	shortfalls      []shortfall // of what is late without more machines
+	rentedCores     float64     // that this round rents
 }
 
 // shortfall is a lack of cores for what is due within a time.
 type shortfall struct{ withinSeconds, cores float64 }
 
-// missingCores is how many cores of machines that boot in the given time would help:
-// ones that are up for less than half of the time in question are not for it.
-func (d *spotDemand) missingCores(boot float64) float64 {
+// missingCores is how many cores of machines with the given boot time would help.
+// Machines that would be up for less than half of the time in question do not.
+func (d *spotDemand) missingCores(bootSeconds float64) float64 {
 	most := 0.0
-	for _, s := range d.shortfalls {
-		if s.withinSeconds >= 2*boot {
-			most = max(most, s.cores)
+	for _, lack := range d.shortfalls {
+		if lack.withinSeconds >= usefulBootFactor*bootSeconds {
+			most = max(most, lack.cores)
 		}
 	}
 	return most - d.rentedCores
 }
 
-// estimateDemand works out what spot jobs wait for. Ordinary machines are rented for
-// them only as far as work that can still be in time would be late on what is
-// there or boots: done in the order of what is due, with the runs under way
-// half over.
-func (f *Autoscaler) estimateDemand(known []KnownMachine, retiring map[string]bool, gaps []UnplacedWork, busy RunningLoad, now time.Duration) spotDemand {
-	type supply struct{ cores, boot float64 }
-	up, boots := -busy.UnreachableCores, []supply{}
-	rented := -busy.OnDemandCores // ordinary cores that the others leave
-	for _, k := range known {
-		if t := f.machineTypes[k.Record.Type]; t != nil && !retiring[k.ID] {
-			up += t.Cores
-			if !k.Record.Spot && !k.Record.Owned {
-				rented += t.Cores
-			}
-		}
+// supply is the capacity that is there or on its way.
+type supply struct {
+	upCores       float64 // of all reachable machines that stay
+	onDemandCores float64 // of rented on-demand machines, beside what other than spot jobs hold
+	booting       []bootingSupply
+}
+
+// bootingSupply is a machine that boots in time.
+type bootingSupply struct{ cores, readyInSeconds float64 }
+
+// meanCores is how many cores are there on average over the given time, beside those held.
+func (s *supply) meanCores(seconds, heldCores float64) float64 {
+	cores := s.upCores - heldCores
+	for _, machine := range s.booting {
+		cores += machine.cores * max(0, 1-machine.readyInSeconds/seconds)
 	}
-	for _, id := range f.bootingMachineIDs() {
-		b := f.booting[id]
-		if t := f.machineTypes[b.typeName]; t != nil && !f.overdue[id] {
-			boots = append(boots, supply{t.Cores, max(0, t.BootSeconds-(now-b.requestedAt).Seconds())})
-			if !b.spot {
-				rented += t.Cores
-			}
+	return max(0, cores)
+}
+
+// supply adds up the capacity of the cluster.
+func (a *Autoscaler) supply(state *ClusterState, now time.Duration) supply {
+	total := supply{upCores: -state.Running.UnreachableCores, onDemandCores: -state.Running.OnDemandCores}
+	for _, machine := range state.Machines {
+		t := a.machineTypes[machine.Record.Type]
+		if t == nil || state.Retiring[machine.ID] {
+			continue
+		}
+		total.upCores += t.Cores
+		if !machine.Record.Spot && !machine.Record.Owned {
+			total.onDemandCores += t.Cores
 		}
 	}
-	fastest := math.Inf(1)
-	for _, t := range f.machineTypes {
-		fastest = min(fastest, t.BootSeconds)
-	}
-	held := busy.OnDemandCores
-	type due struct {
-		in, work float64
-		rank     int
-	}
-	var d spotDemand
-	var list []due
-	for _, g := range gaps {
-		c := float64(g.Tasks) * max(g.Job.Cores, g.Job.GPUs)
-		if !g.Job.AllowSpot {
-			held += c
+	for _, id := range a.bootingMachineIDs() {
+		machine := a.booting[id]
+		t := a.machineTypes[machine.typeName]
+		if t == nil || a.overdue[id] {
 			continue
 		}
-		d.waitingCores += c
-		e := max(g.Job.Estimate, 1)
-		if len(g.DeadlineSeconds) == 0 { // as soon as it could be
-			list = append(list, due{max(e/2, 2*fastest), c * e, g.Job.Priority})
+		total.booting = append(total.booting, bootingSupply{t.Cores, machine.readyInSeconds(t, now)})
+		if !machine.spot {
+			total.onDemandCores += t.Cores
 		}
-		for _, at := range g.DeadlineSeconds {
-			// The first that can still be met without an effort out of
-			// proportion, by machines that would be up for half of the time. A
-			// part of an estimate is kept for what estimates miss.
-			if in := at - g.WaitedSeconds - 1.25*e; in >= max(e/2, 2*fastest) {
-				list = append(list, due{in, c * e, g.Job.Priority})
-				break
-			}
+	}
+	total.onDemandCores = max(0, total.onDemandCores)
+	return total
+}
+
+// dueWork is work of a spot job that can still be in time.
+type dueWork struct {
+	dueInSeconds, coreSeconds float64
+	rank                      int
+}
+
+// estimateDemand works out what spot jobs wait for. On-demand machines are rented for
+// them only as far as work that can still be in time would be late on what is there or
+// boots: done in the order in which it is due, with what runs now half over.
+func (a *Autoscaler) estimateDemand(state *ClusterState, now time.Duration) spotDemand {
+	available := a.supply(state, now)
+	heldCores := state.Running.OnDemandCores
+	demand := spotDemand{onDemandSurplus: true}
+	var queue []dueWork
+	for i := range state.Unplaced {
+		work := &state.Unplaced[i]
+		if !work.Job.AllowSpot {
+			heldCores += work.cores()
+			continue
+		}
+		demand.waitingCores += work.cores()
+		if due, ok := a.dueWorkOf(work); ok {
+			queue = append(queue, due)
 		}
 	}
-	sort.SliceStable(list, func(i, k int) bool { return list[i].in < list[k].in })
-	d.onDemandSurplus = true
-	rented = max(0, rented)
-	work := busy.SpotCoreSeconds
-	for _, g := range list {
-		work += g.work
-		capacity := up - held
-		for _, s := range boots {
-			capacity += s.cores * max(0, 1-s.boot/g.in)
+	sort.SliceStable(queue, func(i, k int) bool { return queue[i].dueInSeconds < queue[k].dueInSeconds })
+	coreSeconds := state.Running.SpotCoreSeconds
+	for _, due := range queue {
+		coreSeconds += due.coreSeconds
+		neededCores := coreSeconds/due.dueInSeconds + state.ExpectedCores(due.rank)
+		missing := neededCores - available.meanCores(due.dueInSeconds, heldCores)
+		demand.shortfalls = append(demand.shortfalls, shortfall{due.dueInSeconds, missing})
+		if missing+available.onDemandCores > 0 {
+			demand.onDemandSurplus = false
 		}
-		missing := work/g.in + f.expectedCores(g.rank) - max(0, capacity)
-		d.shortfalls = append(d.shortfalls, shortfall{g.in, missing})
-		if missing+rented > 0 {
-			d.onDemandSurplus = false
+	}
+	return demand
+}
+
+// dueWorkOf says by when work must be done: by the first deadline that can still be met
+// without an effort out of proportion, by machines that would be up for half of the time;
+// without deadlines as soon as it could be. It returns false if no deadline can be met.
+func (a *Autoscaler) dueWorkOf(work *UnplacedWork) (dueWork, bool) {
+	estimate := work.estimateSeconds()
+	soonest := max(estimate/2, usefulBootFactor*a.fastestBootSeconds())
+	due := dueWork{dueInSeconds: soonest, coreSeconds: work.cores() * estimate, rank: work.Job.Priority}
+	if len(work.DeadlineSeconds) == 0 {
+		return due, true
+	}
+	for _, deadline := range work.DeadlineSeconds {
+		due.dueInSeconds = deadline - work.WaitedSeconds - estimateReserve*estimate
+		if due.dueInSeconds >= soonest {
+			return due, true
 		}
 	}
-	return d
+	return dueWork{}, false
+}
+
+// fastestBootSeconds is the shortest boot time of all types.
+func (a *Autoscaler) fastestBootSeconds() float64 {
+	fastest := math.Inf(1)
+	for _, t := range a.machineTypes {
+		fastest = min(fastest, t.BootSeconds)
+	}
+	return fastest
+}
+
+// longestUsualBootSeconds is how long a machine of the slowest type may usually take to
+// boot.
+func (a *Autoscaler) longestUsualBootSeconds() float64 {
+	longest := 0.0
+	for _, t := range a.machineTypes {
+		longest = max(longest, overdueFactor*t.BootSeconds)
+	}
+	return longest
 }
--- /dev/null
+++ b/internal/autoscaler/fakes_test.go
@@ -0,0 +1,89 @@
+package autoscaler
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
+	"curlewspool/internal/shard"
+)
+
+// fakeCloud is an environment whose cloud has no spot machines and plenty of on-demand
+// ones. It answers rentals at once and no other request.
+type fakeCloud struct {
+	emptyZone string // a zone without machines
+	now       time.Duration
+	rentals   []protocol.RentalRequest // requested
+}
+
+func (c *fakeCloud) Now() time.Duration             { return c.now }
+func (c *fakeCloud) Wall() time.Time                { return time.Unix(0, 0) }
+func (c *fakeCloud) Rand() *rand.Rand               { return rand.New(rand.NewPCG(1, 2)) }
+func (c *fakeCloud) After(time.Duration, func())    {}
+func (c *fakeCloud) Send(string, *peermsg.Envelope) {}
+func (c *fakeCloud) Call(_, _, _ string, in, out any, _ time.Duration, done func(int)) {
+	rental, ok := in.(*protocol.RentalRequest)
+	if !ok {
+		return
+	}
+	c.rentals = append(c.rentals, *rental)
+	if rental.Spot || c.emptyZone == rental.Zone {
+		done(503)
+		return
+	}
+	rented := out.(*protocol.MachineIDList)
+	for i := range rental.Count {
+		rented.Machines = append(rented.Machines, fmt.Sprintf("%s.%d", rental.RequestID, i))
+	}
+	done(200)
+}
+
+var noCallbacks = Callbacks{
+	Listed:  func([]protocol.ListedMachine) {},
+	Deleted: func([]string) {},
+}
+
+func testSettings() *settings.Settings {
+	s := &settings.Settings{Operators: settings.Defaults()}
+	s.Deployment.Cloud.RPS, s.Deployment.Cloud.ListLag, s.Deployment.Workers.Lease = 100, 1000, 10
+	return s
+}
+
+func catalog(types ...protocol.MachineType) map[string]*protocol.MachineType {
+	byName := map[string]*protocol.MachineType{}
+	for i := range types {
+		byName[types[i].Name] = &types[i]
+	}
+	return byName
+}
+
+// newState is the state of a cluster in which nothing runs and no more work is expected.
+func newState(types map[string]*protocol.MachineType, machines []KnownMachine, unplaced ...UnplacedWork) *ClusterState {
+	return &ClusterState{
+		MachineTypes:  types,
+		Machines:      machines,
+		Unplaced:      unplaced,
+		ExpectedCores: func(int) float64 { return 0 },
+	}
+}
+
+// upMachines are machines of the type quick.
+func upMachines(count int, spot bool) []KnownMachine {
+	var machines []KnownMachine
+	for i := range count {
+		machines = append(machines, KnownMachine{fmt.Sprintf("%v-%d", spot, i), &shard.MachineRecord{Type: "quick", Zone: "a", Spot: spot}})
+	}
+	return machines
+}
+
+// arrayEstimateSeconds is the estimate of the tasks of array.
+const arrayEstimateSeconds = 30
+
+// array is a job array whose tasks take a core each and may use spot machines.
+func array(tasks int, waited float64, deadlines ...float64) UnplacedWork {
+	job := &protocol.Job{Shape: protocol.ShapeArray, Cores: 1, MemoryGB: 1, AllowSpot: true, Estimate: arrayEstimateSeconds}
+	return UnplacedWork{Job: job, Tasks: tasks, WaitedSeconds: waited, DeadlineSeconds: deadlines}
+}
--- a/internal/autoscaler/inventory.go
+++ b/internal/autoscaler/inventory.go
@@ -1,8 +1,9 @@
 package autoscaler
 
 import (
+	"fmt"
 	"log/slog"
-	"sort"
+	"net/http"
 	"time"
 
 	"curlewspool/internal/env"
@@ -10,137 +11,119 @@
 	"curlewspool/internal/shard"
 )
 
-// This file follows the cloud's list of machines and deletes what is not needed.
+// This file follows the cloud's list of machines.
 
-// --- deletions ---
+// The cloud's interface.
+const (
+	rentalsPath   = "/rentals"
+	deletionsPath = "/rentals/delete"
 
-func (f *Autoscaler) deleteMachines(records map[string]*shard.MachineRecord, retiring map[string]bool, now time.Duration, forget func([]string)) {
-	var gone []string // deleted, but the record is still there
-	for id := range records {
-		if f.IsDeleted(id) {
-			gone = append(gone, id)
-		}
-	}
-	forget(gone)
-	if f.isDeleting {
-		return
-	}
-	var ids []string
-	for id := range retiring {
-		if records[id] != nil && !f.IsDeleted(id) {
-			ids = append(ids, id)
-		}
-	}
-	for id, b := range f.booting {
-		if t := f.machineTypes[b.typeName]; t != nil && now-b.requestedAt > env.Seconds(t.BootSeconds*f.settings.Rent.LateBoots) {
-			slog.Info("fleet: never came up", "machine", id, "type", b.typeName)
-			ids = append(ids, id)
-		}
-	}
-	for id, at := range f.deletedAt { // and ones the list still shows, see list
-		if at == 0 {
-			ids = append(ids, id)
-		}
-	}
-	if len(ids) == 0 || !f.takeRequestBudget() {
-		return
-	}
-	sort.Strings(ids)
-	ids = ids[:min(len(ids), 100)]
-	f.isDeleting = true
-	f.env.Call(f.cloudAddress, "POST", "/rentals/delete", &protocol.MachineIDList{Machines: ids}, nil, cloudTimeout, func(status int) {
-		f.isDeleting = false
-		if status != 200 {
-			return // the next tick asks again
-		}
-		slog.Info("fleet: deleted", "machines", ids)
-		for _, id := range ids {
-			delete(f.booting, id)
-			f.deletedAt[id] = f.env.Now()
-		}
-		for opt := range f.backoffs { // what was returned may be rented again
-			delete(f.backoffs, opt)
-		}
-		forget(ids)
-	})
-}
+	// listingPageSize is the most machines that one page of the list has.
+	listingPageSize = 500
+	// cloudTimeout bounds one request.
+	cloudTimeout = 4 * time.Second
+)
 
-// --- the cloud's list ---
+// deletedMemory is how long a confirmed deletion is remembered: longer than any list
+// that still shows the machine is old.
+const deletedMemory = 10 * time.Minute
 
-func (f *Autoscaler) refreshInventory(records map[string]*shard.MachineRecord, now time.Duration, found func([]protocol.ListedMachine)) {
-	every := env.Seconds(max(f.settings.Deployment.Cloud.ListLag, 10/f.settings.Deployment.Cloud.RPS))
-	if f.isListing || now-f.lastListing < every || !f.takeRequestBudget() {
+// refreshInventory reads the cloud's list anew if the latest one is old enough. The
+// complete list is handed to listed.
+func (a *Autoscaler) refreshInventory(records map[string]*shard.MachineRecord, now time.Duration, listed func([]protocol.ListedMachine)) {
+	cloud := &a.settings.Deployment.Cloud
+	interval := env.Seconds(max(cloud.ListLag, 10/cloud.RPS))
+	if a.isListing || now-a.lastListing < interval || !a.takeRequestBudget() {
 		return
 	}
-	f.isListing, f.lastListing = true, now
-	f.listed = f.listed[:0]
-	f.fetchInventoryPage("", records, found)
+	a.isListing, a.lastListing = true, now
+	a.listed = a.listed[:0]
+	a.fetchInventoryPage("", records, listed)
 }
 
-func (f *Autoscaler) fetchInventoryPage(since string, records map[string]*shard.MachineRecord, found func([]protocol.ListedMachine)) {
-	out := &protocol.MachineList{}
-	path := "/rentals?limit=500"
-	if since != "" {
-		path += "&since=" + since
+// fetchInventoryPage reads the page of the list that begins after a machine, and then the
+// next ones, spaced by the cloud's rate limit.
+func (a *Autoscaler) fetchInventoryPage(after string, records map[string]*shard.MachineRecord, listed func([]protocol.ListedMachine)) {
+	page := &protocol.MachineList{}
+	path := fmt.Sprintf("%s?limit=%d", rentalsPath, listingPageSize)
+	if after != "" {
+		path += "&since=" + after
 	}
-	f.env.Call(f.cloudAddress, "GET", path, nil, out, cloudTimeout, func(status int) {
-		if status != 200 {
-			f.isListing = false
+	a.env.Call(a.cloudAddress, http.MethodGet, path, nil, page, cloudTimeout, func(status int) {
+		if status != http.StatusOK {
+			a.isListing = false
 			return
 		}
-		f.listed = append(f.listed, out.Machines...)
-		if out.Truncated && len(out.Machines) > 0 {
-			f.env.After(env.Seconds(1/f.settings.Deployment.Cloud.RPS), func() { f.fetchInventoryPage(out.Machines[len(out.Machines)-1].ID, records, found) })
+		a.listed = append(a.listed, page.Machines...)
+		if page.Truncated && len(page.Machines) > 0 {
+			last := page.Machines[len(page.Machines)-1].ID
+			pause := env.Seconds(1 / a.settings.Deployment.Cloud.RPS)
+			a.env.After(pause, func() { a.fetchInventoryPage(last, records, listed) })
 			return
 		}
-		f.isListing = false
-		f.applyListing(records)
-		found(f.listed)
+		a.isListing = false
+		a.applyListing(records)
+		listed(a.listed)
 	})
 }
 
-// applyListing learns what boots and what failed. A list is old: it never proves
-// that something is gone.
-func (f *Autoscaler) applyListing(records map[string]*shard.MachineRecord) {
-	now := f.env.Now()
-	for _, m := range f.listed {
-		if _, gone := f.deletedAt[m.ID]; gone {
-			continue
-		}
-		switch {
-		case m.Status == protocol.MachineFailed:
-			f.deletedAt[m.ID] = 0 // to be deleted
-		case records[m.ID] == nil:
-			if _, ok := f.booting[m.ID]; !ok {
-				b := bootingMachine{offering{m.Type, m.Zone, m.Spot}, now - env.Seconds(m.AgeSeconds), false}
-				if m.Status != protocol.MachineStarting {
-					b.requestedAt, b.foundRunning = now, true // it will report
-				}
-				f.booting[m.ID] = b
-			}
+// applyListing learns from a complete list which machines boot, which failed and which
+// are missing. A list may be older than what is known: it never proves that a machine is
+// gone.
+func (a *Autoscaler) applyListing(records map[string]*shard.MachineRecord) {
+	now := a.env.Now()
+	for i := range a.listed {
+		a.applyListedMachine(&a.listed[i], records, now)
+	}
+	a.findMissing(records, now)
+	for id, at := range a.deletedAt {
+		if now-at > deletedMemory {
+			delete(a.deletedAt, id)
 		}
 	}
-	// A machine that was listed and no longer is may be gone without a word.
-	// Deleting it proves it. A list may be older than the one before.
-	here := map[string]bool{}
-	for _, m := range f.listed {
-		here[m.ID] = true
-		f.lastListed[m.ID] = now
+}
+
+// applyListedMachine takes one entry of the list.
+func (a *Autoscaler) applyListedMachine(machine *protocol.ListedMachine, records map[string]*shard.MachineRecord, now time.Duration) {
+	if a.IsDeleted(machine.ID) || a.pendingDeletion[machine.ID] {
+		return
 	}
-	wait := env.Seconds(max(3*f.settings.Deployment.Cloud.ListLag, f.settings.Deployment.Workers.Lease/2))
-	for id, at := range f.lastListed {
-		_, gone := f.deletedAt[id]
-		switch {
-		case records[id] == nil && !here[id]:
-			delete(f.lastListed, id)
-		case !here[id] && !gone && now-at > wait:
-			slog.Info("fleet: no longer listed", "machine", id)
-			f.deletedAt[id] = 0
-		}
+	if machine.Status == protocol.MachineFailed {
+		a.pendingDeletion[machine.ID] = true
+		return
 	}
-	for id, at := range f.deletedAt {
-		if at != 0 && now-at > 10*time.Minute {
-			delete(f.deletedAt, id)
+	if _, known := a.booting[machine.ID]; known || records[machine.ID] != nil {
+		return
+	}
+	entry := bootingMachine{
+		offering:    offering{machine.Type, machine.Zone, machine.Spot},
+		requestedAt: now - env.Seconds(machine.AgeSeconds),
+	}
+	if machine.Status != protocol.MachineStarting { // it will report
+		entry.requestedAt, entry.foundRunning = now, true
+	}
+	a.booting[machine.ID] = entry
+}
+
+// findMissing marks machines with records for deletion that were listed and no longer
+// are. They may be gone without notice, which deleting them proves. As a list may be
+// older than the one before, they must be missing for some time.
+func (a *Autoscaler) findMissing(records map[string]*shard.MachineRecord, now time.Duration) {
+	isListed := map[string]bool{}
+	for _, machine := range a.listed {
+		isListed[machine.ID] = true
+		a.lastListed[machine.ID] = now
+	}
+	deployment := &a.settings.Deployment
+	patience := env.Seconds(max(3*deployment.Cloud.ListLag, deployment.Workers.Lease/2))
+	for id, at := range a.lastListed {
+		switch {
+		case isListed[id]:
+		case records[id] == nil:
+			delete(a.lastListed, id)
+		case !a.IsDeleted(id) && !a.pendingDeletion[id] && now-at > patience:
+			slog.Info("autoscaler: machine is no longer listed", "machine", id)
+			a.pendingDeletion[id] = true
 		}
 	}
 }
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -8,85 +8,108 @@
 	"curlewspool/internal/shard"
 )
 
-// zonePlacement says where machines help a gang, of which each zone may take but so many tasks.
-// For what may be anywhere it counts nothing.
+// zonePlacement limits how many tasks of a job each zone may take, for a gang that is
+// bound to zones. For a job that may be anywhere it limits nothing.
 //
-// A gang apart needs room in two zones at once, and one in one zone all of it there.
-// Rented where they were cheapest, machines came up in the wrong zone, stood idle, were
-// returned, and the next were rented, for ever (random day 300683: a gang apart, whose
-// part had lost the last machine of a zone, waited for 370 s beside 37 rentals). A gang
-// in one zone nearly always has its machines there, so only one that has waited for as
-// long as machines may boot is looked after in this way.
+// A gang that is spread needs capacity in two zones at once, and one in one zone needs
+// all of it there. Rented where they were cheapest, machines came up in the wrong zone,
+// stood idle, were returned, and the next were rented, for ever (random day 300683: a
+// spread gang, whose shard had lost the last machine of a zone, waited for 370 s beside
+// 37 rentals). A gang in one zone nearly always has its machines there, so its zone is
+// only chosen once it has waited for as long as machines may take to boot.
 type zonePlacement struct {
-	tasksPerZone int            // tasks in a zone; 0: nothing is counted
-	singleZone   bool           // all of it in one zone
-	chosenZone   string         // that one; "": not chosen yet
-	tasksByZone  map[string]int // tasks that have room there, or are to have it
-	startable    int            // of them, in what is free now
+	tasksPerZone int  // 0: no limit, and nothing is counted
+	singleZone   bool // all tasks go to one zone
+	chosenZone   string
+	tasksByZone  map[string]int // that have capacity there, or are to have it
+	startable    int            // of them, on what is free now
 }
 
-func (f *Autoscaler) placementZones(g *UnplacedWork, bins []*freeCapacity) (z zonePlacement) {
-	j := g.Job
+// placementZones makes the limits for work, with the tasks that could start now counted.
+func (a *Autoscaler) placementZones(work *UnplacedWork, capacity []*freeCapacity) zonePlacement {
+	job := work.Job
+	var zones zonePlacement
 	switch {
-	case j.Shape != protocol.ShapeGang || j.Tasks < 2:
-		return z
-	case j.SpreadZones:
-		z.tasksPerZone = shard.MaxPerZone(j)
-	case j.SingleZone && g.WaitedSeconds > f.longestUsualBoot():
-		z.tasksPerZone, z.singleZone = j.Tasks, true
-		z.chosenZone = f.bestZone(g, bins)
+	case job.Shape != protocol.ShapeGang || job.Tasks < 2:
+		return zones
+	case job.SpreadZones:
+		zones.tasksPerZone = shard.MaxPerZone(job)
+	case job.SingleZone && work.WaitedSeconds > a.longestUsualBootSeconds():
+		zones.tasksPerZone, zones.singleZone = job.Tasks, true
+		zones.chosenZone = a.bestZone(work, capacity)
 	default:
-		return z
+		return zones
 	}
-	z.tasksByZone = map[string]int{}
-	if z.singleZone && z.chosenZone == "" {
-		return z // all of it anew
+	zones.tasksByZone = map[string]int{}
+	if zones.singleZone && zones.chosenZone == "" {
+		return zones // the first machine rented chooses the zone
 	}
-	for zone, k := range g.FreeSlotsByZone {
-		z.startable += z.add(zone, min(k, z.remaining(zone)))
+	for zone, free := range work.FreeSlotsByZone {
+		zones.startable += zones.add(zone, min(free, zones.remaining(zone)))
 	}
-	return z
+	return zones
 }
 
-// longestUsualBoot is how long the slowest type may take to boot, in seconds.
-func (f *Autoscaler) longestUsualBoot() (s float64) {
-	for _, t := range f.machineTypes {
-		s = max(s, overdueFactor*t.BootSeconds)
+// bestZone is the one that has most capacity for a gang in what is free and what boots,
+// of those that have enough for all of it or where the cloud has not refused the rest;
+// "" if there is none.
+func (a *Autoscaler) bestZone(work *UnplacedWork, capacity []*freeCapacity) string {
+	slots := zoneSlots(work, capacity)
+	best := ""
+	for _, zone := range a.allowedZones(work.Job) {
+		suffices := slots[zone] >= work.Job.Tasks || a.mayRentIn(zone, work.Job)
+		if suffices && slots[zone] > slots[best] {
+			best = zone
+		}
 	}
-	return s
+	return best
 }
 
-// bestZone is the one that has most for a gang in what is free and what boots, of those
-// that have all of it or where the cloud has not refused the rest; "" if there is none:
-// the first machine asked for decides then.
-func (f *Autoscaler) bestZone(g *UnplacedWork, bins []*freeCapacity) (best string) {
-	has, open := map[string]int{}, map[string]bool{}
-	for zone, k := range g.FreeSlotsByZone {
-		has[zone] += k
+// zoneSlots counts, by zone, the tasks of a gang that have capacity in what is free and
+// what boots.
+func zoneSlots(work *UnplacedWork, capacity []*freeCapacity) map[string]int {
+	slots := map[string]int{}
+	for zone, free := range work.FreeSlotsByZone {
+		slots[zone] += free
 	}
-	for _, b := range bins {
-		if shard.CanRunOn(g.Job, b.machineType, b.zone, b.spot) {
-			has[b.zone] += (&protocol.MachineType{Cores: b.cores, GPUs: b.gpus, MemoryGB: b.memory}).TasksThatFit(g.Job, g.Tasks)
+	for _, machine := range capacity {
+		if shard.CanRunOn(work.Job, machine.machineType, machine.zone, machine.spot) {
+			free := protocol.MachineType{Cores: machine.cores, GPUs: machine.gpus, MemoryGB: machine.memory}
+			slots[machine.zone] += free.TasksThatFit(work.Job, work.Job.Tasks)
 		}
 	}
-	var all []string
-	for _, t := range f.machineTypes {
+	return slots
+}
+
+// allowedZones lists the zones with machines that a job may use, by name.
+func (a *Autoscaler) allowedZones(job *protocol.Job) []string {
+	var zones []string
+	a.eachAllowed(job, func(choice offering) { zones = append(zones, choice.zone) })
+	slices.Sort(zones)
+	return slices.Compact(zones)
+}
+
+// mayRentIn tells whether the cloud has not refused some machine in the zone that a job
+// may use.
+func (a *Autoscaler) mayRentIn(zone string, job *protocol.Job) bool {
+	mayRent := false
+	a.eachAllowed(job, func(choice offering) {
+		mayRent = mayRent || choice.zone == zone && a.backoffs[choice].failures == 0
+	})
+	return mayRent
+}
+
+// eachAllowed calls visit for each offering that a job may use, in no order.
+func (a *Autoscaler) eachAllowed(job *protocol.Job, visit func(choice offering)) {
+	for _, t := range a.machineTypes {
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
-				if shard.CanRunOn(g.Job, t, zone, spot) {
-					all = append(all, zone)
-					open[zone] = open[zone] || f.backoffs[offering{t.Name, zone, spot}].failures == 0
+				if shard.CanRunOn(job, t, zone, spot) {
+					visit(offering{t.Name, zone, spot})
 				}
 			}
 		}
 	}
-	slices.Sort(all)
-	for _, zone := range all {
-		if (has[zone] >= g.Job.Tasks || open[zone]) && has[zone] > has[best] {
-			best = zone
-		}
-	}
-	return best
 }
 
 // remaining is how many more tasks a zone may take.
@@ -100,13 +123,19 @@
 	return z.tasksPerZone - z.tasksByZone[zone]
 }
 
-// add counts tasks into a zone and gives their number.
-func (z *zonePlacement) add(zone string, k int) int {
-	if z.tasksPerZone > 0 && k > 0 {
-		z.tasksByZone[zone] += k
+// add counts tasks into a zone, and returns their number.
+func (z *zonePlacement) add(zone string, tasks int) int {
+	if z.tasksPerZone > 0 && tasks > 0 {
+		z.tasksByZone[zone] += tasks
 		if z.singleZone {
 			z.chosenZone = zone
 		}
 	}
-	return k
+	return tasks
+}
+
+// place puts up to the given number of a job's tasks on a machine, within the limit of
+// its zone, and returns how many.
+func (z *zonePlacement) place(machine *freeCapacity, job *protocol.Job, tasks int) int {
+	return z.add(machine.zone, machine.place(job, min(tasks, z.remaining(machine.zone))))
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -199,7 +199,13 @@
 			busy.OnDemandCores += cores
 		}
 	}
-	coming := func(rank int) float64 { return c.arrivals.CoresAboveRank(rank, env.Seconds(c.WallSeconds())) }
-	c.autoscaler.Reconcile(c.machineTypes, known, retiring, gaps, busy, coming, c.recordInitialMachines, c.removeMachines)
+	c.autoscaler.Reconcile(&autoscaler.ClusterState{
+		MachineTypes:  c.machineTypes,
+		Machines:      known,
+		Retiring:      retiring,
+		Unplaced:      gaps,
+		Running:       busy,
+		ExpectedCores: func(rank int) float64 { return c.arrivals.CoresAboveRank(rank, env.Seconds(c.WallSeconds())) },
+	}, autoscaler.Callbacks{Listed: c.recordInitialMachines, Deleted: c.removeMachines})
 	c.scheduleRosterWrite()
 }
