--- /dev/null
+++ b/internal/userapi/cancel.go
@@ -0,0 +1,88 @@
+package userapi
+
+import (
+	"log/slog"
+	"net/http"
+
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// maxCancelAttempts is how often a cancellation starts again as the job's record changes
+// meanwhile.
+const maxCancelAttempts = 5
+
+// Cancel handles POST /v2/runs/{id}/abort.
+func (s *Service) Cancel(job string, reply Reply) {
+	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
+		replyNoSuchJob(reply)
+		return
+	}
+	s.cancel(job, reply, 0)
+}
+
+func (s *Service) cancel(job string, reply Reply, attempts int) {
+	s.find(job, func(result lookupResult) {
+		switch result.state {
+		case jobLive:
+			s.cancelLive(job, reply, attempts)
+		case jobFinished:
+			reply(http.StatusOK, &protocol.JobState{ID: job, Status: result.outcome.Status}, 0)
+		case jobUnknown:
+			replyNoSuchJob(reply)
+		case jobUnavailable:
+			replyUnavailable(reply, reasonStoreUnreachable)
+		}
+	})
+}
+
+// cancelLive makes a cancellation durable before the user is answered: the outcome stands
+// and the live record is gone, so no controller can start or finish the job afterwards.
+func (s *Service) cancelLive(job string, reply Reply, attempts int) {
+	if !s.isLive(job) || attempts > maxCancelAttempts {
+		replyUnavailable(reply, reasonConflict)
+		return
+	}
+	single := s.newSingleReply(reply)
+	done := func(ok bool) {
+		if ok {
+			single.send(http.StatusOK, &protocol.JobState{ID: job, Status: protocol.JobCancelled}, 0)
+			return
+		}
+		if !single.answered { // the record changed, or the job finished meanwhile
+			s.cancel(job, single.send, attempts+1)
+		}
+	}
+	s.storeCancellation(job, "", done, single.unreachable)
+}
+
+// storeCancellation stores that a job is cancelled, by its user or, if cause is not
+// empty, with that other job. For refused see kvstore.WriteRequest.
+func (s *Service) storeCancellation(job, cause string, done func(ok bool), refused func() bool) {
+	store, tasks := s.host.Store(), s.taskCount(job)
+	var outcome shard.FinalRecord
+	store.Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
+		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
+			current := store.UnchangedCondition(shard.JobKey(job))
+			if current.Revision == 0 {
+				return nil, nil
+			}
+			outcome = shard.FinalRecord{Nonce: nonce, Status: protocol.JobCancelled, Tasks: tasks, EndedAt: s.host.WallSeconds(), CancelledWith: cause}
+			conditions := []protocol.Condition{current, {Key: shard.FinalKey(job)}}
+			return conditions, []protocol.Mutation{
+				{Put: shard.FinalKey(job), Value: protocol.Encode(&outcome)},
+				{Delete: shard.JobKey(job)},
+			}
+		},
+		Done: func(ok bool, _ uint64) {
+			if ok {
+				slog.Info("userapi: job cancelled", "job", job, "cause", cause)
+				s.RecordFinished(job, outcome)
+				s.host.AnnounceCancelled(job, cause)
+			}
+			done(ok)
+		},
+		ShouldAbandon: refused,
+	})
+}
--- a/internal/userapi/latency.go
+++ b/internal/userapi/latency.go
@@ -8,8 +8,8 @@
 // bucketBounds is the number of a histogram's bounds: 1 ms, 2 ms, 4 ms, ... 8,192 ms.
 const bucketBounds = 14
 
-// Histogram counts durations by powers of two of a millisecond. (Written here
-// since a controller links no metrics library: docs/design.md, "Libraries".)
+// Histogram counts durations by powers of two of a millisecond. (Written here since a
+// controller links no metrics library: docs/design.md, "Libraries".)
 type Histogram struct {
 	Counts [bucketBounds + 1]uint64 `cbor:"c" json:"counts"` // the last: above all bounds
 	Sum    float64                  `cbor:"s" json:"sum_s"`  // seconds
@@ -19,49 +19,60 @@
 func (h *Histogram) Add(d time.Duration) {
 	d = max(d, 0)
 	// Of whole milliseconds, rounded up: up to 2^k are in bucket k.
-	ms := uint64((d + time.Millisecond - 1) / time.Millisecond)
-	h.Counts[min(bits.Len64(max(ms, 1)-1), bucketBounds)]++
+	milliseconds := uint64((d + time.Millisecond - 1) / time.Millisecond)
+	bucket := bits.Len64(max(milliseconds, 1) - 1)
+	h.Counts[min(bucket, bucketBounds)]++
 	h.Sum += d.Seconds()
 }
 
-// Buckets gives the histogram as Prometheus wants it: the number of durations up
-// to each bound in seconds, and of all.
-func (h *Histogram) Buckets() (upTo map[float64]uint64, all uint64) {
+// Buckets gives the histogram as Prometheus wants it: the number of durations up to each
+// bound in seconds, and of all.
+func (h *Histogram) Buckets() (upTo map[float64]uint64, total uint64) {
 	upTo = map[float64]uint64{}
-	for k, c := range h.Counts {
-		all += c
-		if k < bucketBounds {
-			upTo[float64(uint64(1)<<k)/1000] = all
+	for bucket, count := range h.Counts {
+		total += count
+		if bucket < bucketBounds {
+			upTo[float64(uint64(1)<<bucket)/1000] = total
 		}
 	}
-	return upTo, all
+	return upTo, total
 }
 
 // SubmissionLatencies say where the time of accepted submissions goes, since the process
-// began.
+// began. The stages follow one another.
 type SubmissionLatencies struct {
-	Queued       Histogram `cbor:"q" json:"queue"`  // until the owner's loop takes it up
-	Placement    Histogram `cbor:"c" json:"choose"` // until its parts are chosen (the leader's answer)
-	Batching     Histogram `cbor:"g" json:"commit"` // until it is sent with others, within the budget of changes
-	StateService Histogram `cbor:"s" json:"state"`  // until the state service's answer, repeats included
+	Queued       Histogram `cbor:"q" json:"queue"`  // until the event loop takes it up
+	Placement    Histogram `cbor:"c" json:"choose"` // until its shards are chosen (the leader's answer)
+	Batching     Histogram `cbor:"g" json:"commit"` // until it is sent with others, within the rate limit of writes
+	StateService Histogram `cbor:"s" json:"state"`  // until the state service's answer, retries included
 	Total        Histogram `cbor:"a" json:"all"`
 }
 
-// ByStage lists them with their names.
-func (t *SubmissionLatencies) ByStage() map[string]*Histogram {
-	return map[string]*Histogram{"queue": &t.Queued, "choose": &t.Placement, "commit": &t.Batching, "state": &t.StateService, "all": &t.Total}
+// ByStage lists the histograms under the names that metrics have for them.
+func (l *SubmissionLatencies) ByStage() map[string]*Histogram {
+	return map[string]*Histogram{
+		"queue":  &l.Queued,
+		"choose": &l.Placement,
+		"commit": &l.Batching,
+		"state":  &l.StateService,
+		"all":    &l.Total,
+	}
 }
 
-// submissionTiming of one submission, by the process's steady clock.
+// submissionTiming says when one submission reached each stage, by the process's
+// monotonic clock.
 type submissionTiming struct {
-	queued                       time.Duration // how long it waited for the loop
-	receivedAt, placedAt, sentAt time.Duration
+	queued     time.Duration // how long it waited for the event loop
+	receivedAt time.Duration
+	placedAt   time.Duration
+	sentAt     time.Duration
 }
 
-func (t *SubmissionLatencies) record(s submissionTiming, now time.Duration) {
-	t.Queued.Add(s.queued)
-	t.Placement.Add(s.placedAt - s.receivedAt)
-	t.Batching.Add(s.sentAt - s.placedAt)
-	t.StateService.Add(now - s.sentAt)
-	t.Total.Add(s.queued + now - s.receivedAt)
+// record counts a submission that was accepted now.
+func (l *SubmissionLatencies) record(timing submissionTiming, now time.Duration) {
+	l.Queued.Add(timing.queued)
+	l.Placement.Add(timing.placedAt - timing.receivedAt)
+	l.Batching.Add(timing.sentAt - timing.placedAt)
+	l.StateService.Add(now - timing.sentAt)
+	l.Total.Add(timing.queued + now - timing.receivedAt)
 }
--- /dev/null
+++ b/internal/userapi/replies.go
@@ -0,0 +1,124 @@
+package userapi
+
+import (
+	"net/http"
+	"time"
+
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// Reply answers one request with an HTTP status and a body. retryAfter is the Retry-After
+// in seconds; 0: none.
+type Reply func(status int, body any, retryAfter int)
+
+const (
+	// userPatienceSeconds is about how long users wait for an answer.
+	userPatienceSeconds = 5
+	// answerWithin is when a request is answered at the latest, result or not: well
+	// before its user gives up.
+	answerWithin = 3 * time.Second
+
+	// retryAfterSeconds is the Retry-After when the store cannot be used, and
+	// overloadRetryAfterSeconds that when too many writes wait for it.
+	retryAfterSeconds         = 1
+	overloadRetryAfterSeconds = 2 * retryAfterSeconds
+)
+
+// Reasons of an answer without a result. Users see them.
+const (
+	reasonStoreUnreachable = "state service not reachable"
+	reasonStoreSlow        = "state service slow"
+	reasonConflict         = "try again"
+	reasonNoCatalog        = "machine types not known yet"
+	reasonOldController    = "a controller of the version before is up"
+)
+
+// replyProblem answers with an error that a repeated request would get again.
+func replyProblem(reply Reply, status int, reason string) {
+	reply(status, &protocol.ErrorResponse{Error: reason}, 0)
+}
+
+// replyUnavailable answers that the request should be repeated later.
+func replyUnavailable(reply Reply, reason string) {
+	reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: reason}, retryAfterSeconds)
+}
+
+// replyNoSuchJob answers that no job with this id was ever accepted.
+func replyNoSuchJob(reply Reply) { replyProblem(reply, http.StatusNotFound, "no such job") }
+
+// singleReply passes on the first answer to a request and drops later ones.
+type singleReply struct {
+	reply    Reply
+	answered bool
+}
+
+// newSingleReply makes one that answers by itself if nothing else does in time.
+func (s *Service) newSingleReply(reply Reply) *singleReply {
+	single := &singleReply{reply: reply}
+	s.env.After(answerWithin, func() { replyUnavailable(single.send, reasonStoreSlow) })
+	return single
+}
+
+// send is a Reply.
+func (r *singleReply) send(status int, body any, retryAfter int) {
+	if !r.answered {
+		r.answered = true
+		r.reply(status, body, retryAfter)
+	}
+}
+
+// unreachable answers that the store is not reachable, and gives up the write that waits
+// for it (see kvstore.WriteRequest, Refused).
+func (r *singleReply) unreachable() (giveUp bool) {
+	replyUnavailable(r.send, reasonStoreUnreachable)
+	return true
+}
+
+// finishedState is what users are told of a finished job.
+func finishedState(job string, outcome shard.FinalRecord) *protocol.JobState {
+	state := &protocol.JobState{ID: job, Status: outcome.Status, CancelledBy: outcome.CancelledWith}
+	if outcome.Status == protocol.JobDone {
+		running := 0
+		state.Done, state.Running = &outcome.Tasks, &running
+	}
+	return state
+}
+
+// liveState is what users are told of a live job.
+func (s *Service) liveState(job string) *protocol.JobState {
+	done, running, started := s.host.JobProgress(job)
+	state := &protocol.JobState{ID: job, Status: protocol.JobPending, Done: &done, Running: &running}
+	if started && running > 0 {
+		state.Status = protocol.JobRunning
+	}
+	state.Remote = s.host.RemoteTasks(job)
+	state.PendingDependencies = s.openDependencies(job)
+	return state
+}
+
+// replyKnownOr answers with the state of a job that was accepted, and calls unknown for
+// one that was not.
+func (s *Service) replyKnownOr(job string, reply Reply, unknown func()) {
+	s.find(job, func(result lookupResult) {
+		switch result.state {
+		case jobLive:
+			reply(http.StatusOK, s.liveState(job), 0)
+		case jobFinished:
+			reply(http.StatusOK, finishedState(job, result.outcome), 0)
+		case jobUnknown:
+			unknown()
+		case jobUnavailable:
+			replyUnavailable(reply, reasonStoreUnreachable)
+		}
+	})
+}
+
+// Status handles GET /v2/runs/{id}.
+func (s *Service) Status(job string, reply Reply) {
+	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
+		replyNoSuchJob(reply)
+		return
+	}
+	s.replyKnownOr(job, reply, func() { replyNoSuchJob(reply) })
+}
--- /dev/null
+++ b/internal/userapi/submit.go
@@ -0,0 +1,216 @@
+package userapi
+
+import (
+	"errors"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/shard"
+)
+
+// Why a submission is malformed. Users see the text.
+var (
+	errTooLarge      = errors.New("too large")
+	errNotMap        = errors.New("not a map")
+	errInvalidField  = errors.New("invalid field or not CBOR")
+	errFieldsTooLong = errors.New("fields too long")
+	errReservedID    = errors.New("this id is reserved for borrowed jobs")
+)
+
+// Why a job can never run. Users see the text.
+var (
+	errUnknownTeam      = errors.New("unknown team")
+	errOverTeamLimit    = errors.New("needs more than the team's limit")
+	errNoMachineType    = errors.New("fits no allowed machine type")
+	errSpreadInOneZone  = errors.New("all of it in one zone, which apart rules out")
+	errDependsOnItself  = errors.New("it needs itself")
+	errDependsOnService = errors.New("it needs a service")
+	errUnknownNeed      = errors.New("it needs a job that was never accepted")
+)
+
+// Submit handles POST /v2/runs. queued is how long the request has waited for the event
+// loop.
+func (s *Service) Submit(body []byte, queued time.Duration, reply Reply) {
+	job, err := parseSubmission(body)
+	if err != nil {
+		s.rejectMalformed(body, err, reply)
+		return
+	}
+	if s.host.IsReserved(job.ID) {
+		replyProblem(reply, http.StatusBadRequest, errReservedID.Error())
+		return
+	}
+	if outcome, ok := s.finished.Get(job.ID); ok {
+		reply(http.StatusOK, finishedState(job.ID, outcome), 0)
+		return
+	}
+	if s.host.Store().IsUnavailable() {
+		replyUnavailable(reply, reasonStoreUnreachable)
+		return
+	}
+	if s.host.Job(job.ID) != nil {
+		s.replyKnownOr(job.ID, reply, func() { replyUnavailable(reply, reasonConflict) })
+		return
+	}
+	if len(s.host.MachineTypes()) == 0 {
+		replyUnavailable(reply, reasonNoCatalog)
+		return
+	}
+	if err := s.checkSchedulable(job); err != nil {
+		s.rejectUnlessKnown(job.ID, http.StatusUnprocessableEntity, err, reply)
+		return
+	}
+	if s.isOverloaded() {
+		reply(http.StatusTooManyRequests, &protocol.ErrorResponse{Error: "overloaded"}, overloadRetryAfterSeconds)
+		return
+	}
+	timing := submissionTiming{queued: queued, receivedAt: s.env.Now()}
+	if len(job.Dependencies) > 0 {
+		s.submitDependent(job, timing, reply)
+		return
+	}
+	s.placeAndStore(job, timing, reply)
+}
+
+// parseSubmission reads a job from the body of a request.
+func parseSubmission(body []byte) (*protocol.Job, error) {
+	if len(body) > protocol.MaxBodyBytes {
+		return nil, errTooLarge
+	}
+	if !protocol.IsMap(body) {
+		return nil, errNotMap
+	}
+	var submission protocol.Submission
+	if protocol.Decode(body, &submission) != nil {
+		return nil, errInvalidField
+	}
+	return submission.Validate()
+}
+
+// rejectMalformed answers a submission that cannot be read. One that repeats an accepted
+// id is answered with that job's state, whatever else its body holds.
+func (s *Service) rejectMalformed(body []byte, err error, reply Reply) {
+	job := idOfMalformed(body)
+	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
+		replyProblem(reply, http.StatusBadRequest, err.Error())
+		return
+	}
+	s.rejectUnlessKnown(job, http.StatusBadRequest, err, reply)
+}
+
+// idOfMalformed reads only the id of a submission; "" if there is none.
+func idOfMalformed(body []byte) string {
+	var submission struct {
+		ID any `cbor:"id"`
+	}
+	if len(body) > protocol.MaxBodyBytes || !protocol.IsMap(body) || protocol.Decode(body, &submission) != nil {
+		return ""
+	}
+	id, _ := submission.ID.(string)
+	return id
+}
+
+// rejectUnlessKnown answers with an error, unless the job was accepted before.
+func (s *Service) rejectUnlessKnown(job string, status int, err error, reply Reply) {
+	s.replyKnownOr(job, reply, func() { replyProblem(reply, status, err.Error()) })
+}
+
+// isOverloaded tells whether a submission would wait for the store for longer than its
+// user waits for the answer.
+func (s *Service) isOverloaded() bool {
+	return float64(s.host.Store().QueuedWrites()) > userPatienceSeconds*s.host.Settings().Deployment.State.WriteRPS
+}
+
+// limitTolerance makes up for rounding where demand is compared with a limit.
+const limitTolerance = 1e-9
+
+// checkSchedulable says why a job can never run; nil if it can.
+func (s *Service) checkSchedulable(job *protocol.Job) error {
+	team := s.host.Settings().Team(job.Team)
+	if team == nil {
+		return errUnknownTeam
+	}
+	together := 1.0 // tasks that must run at the same time
+	if job.Shape != protocol.ShapeArray {
+		together = float64(job.Tasks)
+	}
+	if team.CoresMax > 0 && together*job.Cores > team.CoresMax+limitTolerance ||
+		team.GPUsMax > 0 && together*job.GPUs > team.GPUsMax+limitTolerance {
+		return errOverTeamLimit
+	}
+	zones := map[string]bool{}
+	for _, machineType := range s.host.MachineTypes() {
+		for _, zone := range machineType.Zones {
+			if shard.CanRunOn(job, machineType, zone, false) {
+				zones[zone] = true
+			}
+		}
+	}
+	if len(zones) == 0 {
+		return errNoMachineType
+	}
+	isSpread := job.Shape == protocol.ShapeGang && job.SpreadZones && job.Tasks > 1
+	if isSpread && (job.SingleZone || len(zones) < 2) {
+		return errSpreadInOneZone
+	}
+	return nil
+}
+
+// placeAndStore has the leader choose shards for a job, and stores it.
+func (s *Service) placeAndStore(job *protocol.Job, timing submissionTiming, reply Reply) {
+	acceptedAt := s.host.WallSeconds()
+	s.host.PlanShards(job, func(rank, chunk int, shards []int) {
+		timing.placedAt = s.env.Now()
+		record := &shard.JobRecord{Job: *job, AcceptedAt: acceptedAt, Rank: rank, ChunkSize: chunk, ChunkShards: shards}
+		record.Anywhere = job.Tasks == 1 && job.Shape == protocol.ShapeArray &&
+			s.host.Store().HasBacklog(s.host.Settings().Dispatch.Anywhere)
+		s.storeJob(&timing, record, reply)
+	})
+}
+
+// storeJob writes a job's record, on condition that the job was never accepted before.
+// The user is answered once the record is durable.
+func (s *Service) storeJob(timing *submissionTiming, record *shard.JobRecord, reply Reply) {
+	job := record.Job.ID
+	if len(protocol.Encode(record)) > s.host.Settings().MostRecord() {
+		s.rejectUnlessKnown(job, http.StatusBadRequest, errFieldsTooLong, reply)
+		return
+	}
+	single := s.newSingleReply(reply)
+	s.host.Store().Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
+		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
+			if single.answered {
+				return nil, nil
+			}
+			record.Nonce = nonce
+			timing.sentAt = s.env.Now()
+			conditions := []protocol.Condition{{Key: shard.JobKey(job)}, {Key: shard.FinalKey(job)}}
+			return conditions, []protocol.Mutation{{Put: shard.JobKey(job), Value: protocol.Encode(record)}}
+		},
+		Done:          func(ok bool, _ uint64) { s.jobStored(ok, timing, record, single) },
+		ShouldAbandon: single.unreachable,
+	})
+}
+
+// jobStored answers a submission whose write was applied, or never will be.
+func (s *Service) jobStored(applied bool, timing *submissionTiming, record *shard.JobRecord, single *singleReply) {
+	job := record.Job.ID
+	// If the store's answer came late, the job may have finished since.
+	if _, finished := s.finished.Get(job); !applied || finished || !s.isLive(job) {
+		if !single.answered {
+			s.replyKnownOr(job, single.send, func() { replyUnavailable(single.send, reasonConflict) })
+		}
+		return
+	}
+	slog.Debug("userapi: job accepted", "job", job, "rank", record.Rank, "shards", record.ChunkShards)
+	s.host.AnnounceChange(job)
+	s.latencies.record(*timing, s.env.Now())
+	status := protocol.JobPending
+	if s.host.Dependencies().IsCancelled(job) {
+		status = protocol.JobCancelled
+	}
+	single.send(http.StatusCreated, &protocol.JobState{ID: job, Status: status}, 0)
+}
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -13,83 +13,94 @@
 	"curlewspool/internal/shard"
 )
 
+// fakeHost is a controller that has settings and no jobs.
 type fakeHost struct {
 	Host
-	s settings.Settings
+	settings settings.Settings
 }
 
-// fakeEnvironment is a world of which only the time is asked.
+func (h *fakeHost) Settings() *settings.Settings { return &h.settings }
+
+func (h *fakeHost) Dependencies() *dependency.Graph {
+	return dependency.NewGraph(func(string) bool { return false })
+}
+
+// fakeEnvironment is an environment of which only the time is asked.
 type fakeEnvironment struct {
 	env.Environment
 	now time.Duration
 }
 
-func (c *fakeEnvironment) Now() time.Duration { return c.now }
+func (e *fakeEnvironment) Now() time.Duration { return e.now }
 
-func (h *fakeHost) Settings() *settings.Settings { return &h.s }
+const memoryMB = 98
 
-func (h *fakeHost) Dependencies() *dependency.Graph {
-	return dependency.NewGraph(func(string) bool { return false })
+func newTestService(env *fakeEnvironment) *Service {
+	host := &fakeHost{}
+	host.settings.Deployment.Limits.RAM = memoryMB
+	return New(host, env)
 }
 
-// Ended jobs are kept for ever in the state service, not in memory: what is
-// remembered is bounded by the machine's, the newest replace the oldest.
+// Finished jobs are kept for ever in the state service, not in memory: what is remembered
+// is bounded by the machine's, the newest replace the oldest.
 func TestFinishedJobsInMemoryAreBounded(t *testing.T) {
-	h := &fakeHost{}
-	h.s.Deployment.Limits.RAM = 98
-	in := New(h, &fakeEnvironment{})
-	for i := 0; i < 100_000; i++ {
-		in.RecordFinished(fmt.Sprintf("wk-%d", i), shard.FinalRecord{Status: "done"})
+	service := newTestService(&fakeEnvironment{})
+	for i := range 100_000 {
+		service.RecordFinished(fmt.Sprintf("wk-%d", i), shard.FinalRecord{Status: protocol.JobDone})
 	}
-	if n := in.finished.Len(); n != finishedJobsPerMB*98 {
-		t.Errorf("%d ended jobs are kept in memory, want %d", n, finishedJobsPerMB*98)
+	if n := service.finished.Len(); n != finishedJobsPerMB*memoryMB {
+		t.Errorf("%d finished jobs are kept in memory, want %d", n, finishedJobsPerMB*memoryMB)
 	}
-	if _, ok := in.finished.Get("wk-99999"); !ok {
+	if _, ok := service.finished.Get("wk-99999"); !ok {
 		t.Error("the newest is not among them")
 	}
-	if _, ok := in.finished.Get("wk-0"); ok {
+	if _, ok := service.finished.Get("wk-0"); ok {
 		t.Error("the oldest is still among them")
 	}
 }
 
-// What this controller has learned to be cancelled is told from a moment on, or not at all:
-// from before its start, or from further back than its log, it cannot tell.
+// The cancellations that this controller has learned of are listed from a moment on, or
+// not at all: from before its start, or from further back than it remembers, it cannot
+// tell.
 func TestCancelledSince(t *testing.T) {
-	h, c := &fakeHost{}, &fakeEnvironment{now: time.Minute}
-	h.s.Deployment.Limits.RAM = 98
-	in := New(h, c)
-	c.now += time.Second
-	in.RecordFinished("wk-1", shard.FinalRecord{Status: protocol.JobCancelled})
-	c.now += time.Second
-	in.RecordFinished("wk-2", shard.FinalRecord{Status: protocol.JobDone})
-	in.RecordFinished("wk-3", shard.FinalRecord{Status: protocol.JobCancelled})
-	in.RecordFinished("wk-1", shard.FinalRecord{Status: protocol.JobCancelled}) // known
-	for _, x := range []struct {
-		since time.Duration
-		ids   []string
-		ok    bool
+	env := &fakeEnvironment{now: time.Minute}
+	service := newTestService(env)
+	cancelled, done := shard.FinalRecord{Status: protocol.JobCancelled}, shard.FinalRecord{Status: protocol.JobDone}
+	env.now += time.Second
+	service.RecordFinished("wk-1", cancelled)
+	env.now += time.Second
+	service.RecordFinished("wk-2", done)
+	service.RecordFinished("wk-3", cancelled)
+	service.RecordFinished("wk-1", cancelled) // known
+	for _, c := range []struct {
+		name     string
+		since    time.Duration
+		wantJobs []string
+		wantOK   bool
 	}{
-		{time.Minute - 1, nil, false},
-		{time.Minute, []string{"wk-1", "wk-3"}, true},
-		{time.Minute + 2*time.Second, []string{"wk-3"}, true},
-		{time.Hour, nil, true},
+		{"before its start", time.Minute - 1, nil, false},
+		{"its start", time.Minute, []string{"wk-1", "wk-3"}, true},
+		{"the latest", time.Minute + 2*time.Second, []string{"wk-3"}, true},
+		{"after all", time.Hour, nil, true},
 	} {
-		if ids, ok := in.CancelledSince(x.since); ok != x.ok || !slices.Equal(ids, x.ids) {
-			t.Errorf("since %v: %v, %v, want %v, %v", x.since, ids, ok, x.ids, x.ok)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if jobs, ok := service.CancelledSince(c.since); ok != c.wantOK || !slices.Equal(jobs, c.wantJobs) {
+				t.Errorf("%v, %v, want %v, %v", jobs, ok, c.wantJobs, c.wantOK)
+			}
+		})
 	}
 	for i := range 3 * maxCancellations {
-		c.now += time.Millisecond
-		in.RecordFinished(fmt.Sprintf("wk-x%d", i), shard.FinalRecord{Status: protocol.JobCancelled})
+		env.now += time.Millisecond
+		service.RecordFinished(fmt.Sprintf("wk-x%d", i), cancelled)
 	}
-	if len(in.cancellations) > maxCancellations {
-		t.Errorf("%d are kept, want %d at most", len(in.cancellations), maxCancellations)
+	if len(service.cancellations) > maxCancellations {
+		t.Errorf("%d are kept, want %d at most", len(service.cancellations), maxCancellations)
 	}
-	if _, ok := in.CancelledSince(time.Minute); ok {
-		t.Error("it tells of a time from which some are forgotten")
+	if _, ok := service.CancelledSince(time.Minute); ok {
+		t.Error("it lists from a time from which some are forgotten")
 	}
-	last := c.now - 100*time.Millisecond
-	if ids, ok := in.CancelledSince(last); !ok || len(ids) != 101 {
-		t.Errorf("of the last tenth of a second %d, %v, want 101", len(ids), ok)
+	tenthOfSecondAgo := env.now - 100*time.Millisecond
+	if jobs, ok := service.CancelledSince(tenthOfSecondAgo); !ok || len(jobs) != 101 {
+		t.Errorf("of the last tenth of a second %d, %v, want 101", len(jobs), ok)
 	}
 }
