--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -1,19 +1,20 @@
-// Package blame tells machines that are sick from jobs that were submitted with a
-// mistake. Both look alike from a single failure; who fails with whom tells them
-// apart.
+// Package faults attributes the failures of tasks to faulty machines or to jobs that were
+// submitted with a mistake. Both look alike from a single failure; which jobs fail on
+// which machines tells them apart.
 //
-// A failed task has one of three reasons: its job is mistaken (then it fails on
-// every machine), its machine is sick (then every task fails there), or an
-// accident. The failures of a part are pairs of a job and a machine; each pair
-// needs one reason. How likely each job and each machine is the reason follows
-// from all pairs together: a job is the likelier the more machines it failed on
-// that nothing else is held against, a machine the likelier the more jobs failed
-// there that run elsewhere. (A count would be wrong either way: three mistaken jobs
-// at once make any machine look sick, two sick machines any job mistaken.)
+// A failed task has one of three reasons: its job is faulty (then it fails on every
+// machine), its machine is faulty (then every task fails there), or the failure is
+// transient. The failures of a shard are pairs of a job and a machine, and each pair needs
+// one reason. How likely each job and each machine is the reason follows from all pairs
+// together, by belief propagation over the graph that they form: a job is the likelier
+// the more machines it failed on whose other tasks run well, a machine the likelier the
+// more jobs failed there that run well elsewhere. (A count would be wrong either way:
+// three faulty jobs at once make any machine look faulty, two faulty machines any job.)
 //
-// What ends well is proof: a job of which one task ended well is not mistaken, and
-// a machine on which a task that began after its last failure ended well is not
-// sick.
+// Success is proof: a job of which one task ended well is not faulty, and neither is a
+// machine on which a task that began after its last failure ended well.
+//
+// Odds are natural logarithms of p / (1 - p).
 package faults
 
 import (
@@ -22,229 +23,255 @@
 	"slices"
 )
 
-// Priors says how likely each reason is before anything is seen.
+// Priors say how likely each reason is before anything is seen.
 type Priors struct {
 	FaultyJob     float64 // share of jobs that are submitted with a mistake
-	FaultyMachine float64 // share of machines that are sick at a time
+	FaultyMachine float64 // share of machines that are faulty at a time
 	Transient     float64 // share of tasks that fail for no reason that lasts
 }
 
-// propagationRounds of passing on what each side says of the other. The graphs are small
-// and nearly trees; what is not settled by then is left near its prior.
-const propagationRounds = 6
-
-// maxLogOdds bounds the odds that one party can have, in natural logarithms, so that
-// no certainty is beyond what later evidence could undo.
-const maxLogOdds = 25
-
-// failurePair is a job that failed on a machine.
-type failurePair struct {
-	failures        int
-	jobEvidence     float64 // what it says of the job, as log odds
-	machineEvidence float64 // and of the machine
-}
+const (
+	// propagationRounds is how often each side takes up what the other one says. The
+	// graphs are small and nearly trees; what is not settled by then is left near its
+	// prior.
+	propagationRounds = 6
+	// maxLogOdds bounds the odds of a suspect, so that no certainty is beyond what later
+	// evidence could undo.
+	maxLogOdds = 25
+	// maxCountedFailures is how many failures of a pair count: more of them make a
+	// transient reason no less likely.
+	maxCountedFailures = 3
+)
 
-// Attribution keeps what is held against the jobs and machines of one part.
+// Attribution keeps what is held against the jobs and machines of one shard.
 type Attribution struct {
 	priors   Priors
 	jobs     map[string]*suspect
 	machines map[string]*suspect
-	stale    bool
+	stale    bool // the odds are to be worked out anew
 }
 
+// suspect is a job or a machine with failures.
 type suspect struct {
-	pairs        map[string]*failurePair // by the other side
-	exonerated   bool                    // a job: some of it has ended well
-	retainedOdds float64                 // what pairs said whose other side is gone, as log odds
-	remoteOdds   float64                 // a job: what others hold against it
+	pairs        map[string]*failurePair // by the other side's name
+	exonerated   bool                    // a job: some task of it has ended well
+	retainedOdds float64                 // evidence of pairs whose other side was forgotten
+	remoteOdds   float64                 // a job: what other shards hold against it
 	odds         float64                 // as last worked out
 }
 
-// New makes an empty book.
-func New(p Priors) *Attribution {
-	return &Attribution{priors: p, jobs: map[string]*suspect{}, machines: map[string]*suspect{}}
+// failurePair is a job that failed on a machine.
+type failurePair struct {
+	failures        int
+	jobEvidence     float64 // what it says against the job, as log odds
+	machineEvidence float64 // and against the machine
+}
+
+// evidence selects what a pair says against one of its sides.
+type evidence func(*failurePair) float64
+
+func againstJob(pair *failurePair) float64     { return pair.jobEvidence }
+func againstMachine(pair *failurePair) float64 { return pair.machineEvidence }
+
+// New makes an attribution without any evidence.
+func New(priors Priors) *Attribution {
+	return &Attribution{priors: priors, jobs: map[string]*suspect{}, machines: map[string]*suspect{}}
 }
 
-func suspectFor(m map[string]*suspect, id string) *suspect {
-	x := m[id]
-	if x == nil {
-		x = &suspect{pairs: map[string]*failurePair{}}
-		m[id] = x
+// suspectFor gives the entry of a name, a new one if there is none.
+func suspectFor(suspects map[string]*suspect, name string) *suspect {
+	entry := suspects[name]
+	if entry == nil {
+		entry = &suspect{pairs: map[string]*failurePair{}}
+		suspects[name] = entry
 	}
-	return x
+	return entry
 }
 
 // RecordFailure notes that a task of a job failed on a machine.
-func (b *Attribution) RecordFailure(job, machine string) {
-	j, m := suspectFor(b.jobs, job), suspectFor(b.machines, machine)
-	p := j.pairs[machine]
-	if p == nil {
-		p = &failurePair{}
-		j.pairs[machine], m.pairs[job] = p, p
+func (a *Attribution) RecordFailure(job, machine string) {
+	jobSuspect, machineSuspect := suspectFor(a.jobs, job), suspectFor(a.machines, machine)
+	pair := jobSuspect.pairs[machine]
+	if pair == nil {
+		pair = &failurePair{}
+		jobSuspect.pairs[machine], machineSuspect.pairs[job] = pair, pair
 	}
-	p.failures++
-	b.stale = true
+	pair.failures++
+	a.stale = true
 }
 
-// RecordJobSuccess notes that some task of the job has ended well, on whatever machine: it
-// is not mistaken, so all its failures speak against the machines.
-func (b *Attribution) RecordJobSuccess(job string) {
-	if j := b.jobs[job]; j != nil && !j.exonerated {
-		j.exonerated, b.stale = true, true
+// RecordJobSuccess notes that some task of the job has ended well, on whatever machine:
+// it is not faulty, so all its failures speak against the machines.
+func (a *Attribution) RecordJobSuccess(job string) {
+	if entry := a.jobs[job]; entry != nil && !entry.exonerated {
+		entry.exonerated, a.stale = true, true
 	}
 }
 
-// RecordMachineSuccess notes that a task that began on the machine after all its failures ended
-// well: it is not sick, so what failed there speaks against the jobs.
-func (b *Attribution) RecordMachineSuccess(machine string) {
-	if m := b.machines[machine]; m != nil {
-		for _, p := range m.pairs {
-			p.jobEvidence = b.evidence(0, p.failures)
-		}
-		b.remove(machine, b.machines, b.jobs, jobEvidence)
+// RecordMachineSuccess notes that a task that began on the machine after all its failures
+// ended well: it is not faulty, so what failed there speaks against the jobs.
+func (a *Attribution) RecordMachineSuccess(machine string) {
+	entry := a.machines[machine]
+	if entry == nil {
+		return
 	}
+	for _, pair := range entry.pairs {
+		pair.jobEvidence = a.evidenceOf(pair, 0)
+	}
+	a.remove(machine, a.machines, a.jobs, againstJob)
 }
 
-// ForgetMachine forgets a machine that is no longer there. What failed there still speaks
-// against the jobs, as much as it did.
-func (b *Attribution) ForgetMachine(machine string) {
-	if b.machines[machine] != nil {
-		b.propagate()
-		b.remove(machine, b.machines, b.jobs, jobEvidence)
+// ForgetMachine takes out a machine that is no longer there. What failed on it still
+// speaks against the jobs, as much as it did.
+func (a *Attribution) ForgetMachine(machine string) {
+	if a.machines[machine] != nil {
+		a.propagate()
+		a.remove(machine, a.machines, a.jobs, againstJob)
 	}
 }
 
-// ForgetJob forgets a job that has ended. What failed of it still speaks against the
+// ForgetJob takes out a job that has finished. What failed of it still speaks against the
 // machines, as much as it did.
-func (b *Attribution) ForgetJob(job string) {
-	if b.jobs[job] != nil {
-		b.propagate()
-		b.remove(job, b.jobs, b.machines, machineEvidence)
+func (a *Attribution) ForgetJob(job string) {
+	if a.jobs[job] != nil {
+		a.propagate()
+		a.remove(job, a.jobs, a.machines, againstMachine)
 	}
 }
 
-// remove takes one party out; the others keep what its pairs said of them.
-func (b *Attribution) remove(id string, side, other map[string]*suspect, said func(*failurePair) float64) {
-	for o, p := range side[id].pairs {
-		x := other[o]
-		delete(x.pairs, id)
-		x.retainedOdds = clampLogOdds(x.retainedOdds + said(p))
-		if len(x.pairs) == 0 && x.retainedOdds <= 0 && x.remoteOdds <= 0 {
-			delete(other, o)
+// remove takes a suspect out of its side; those on the other side keep what its pairs say
+// against them.
+func (a *Attribution) remove(name string, side, other map[string]*suspect, against evidence) {
+	for otherName, pair := range side[name].pairs {
+		partner := other[otherName]
+		delete(partner.pairs, name)
+		partner.retainedOdds = clampLogOdds(partner.retainedOdds + against(pair))
+		if len(partner.pairs) == 0 && partner.retainedOdds <= 0 && partner.remoteOdds <= 0 {
+			delete(other, otherName)
 		}
 	}
-	delete(side, id)
-	b.stale = true
+	delete(side, name)
+	a.stale = true
 }
 
-// InheritJobOdds takes what the owner before held against a job: it is this one's now, to
-// keep and to tell on.
-func (b *Attribution) InheritJobOdds(job string, odds float64) {
+// InheritJobOdds takes over what the shard's previous owner held against a job. It counts
+// as the shard's own evidence from then on (see LocalJobOdds).
+func (a *Attribution) InheritJobOdds(job string, odds float64) {
 	if odds > 0 {
-		j := suspectFor(b.jobs, job)
-		j.retainedOdds, b.stale = clampLogOdds(max(j.retainedOdds, odds)), true
+		entry := suspectFor(a.jobs, job)
+		entry.retainedOdds, a.stale = clampLogOdds(max(entry.retainedOdds, odds)), true
 	}
 }
 
-// SetRemoteJobOdds sets what the owners of a job's other parts hold against it, as log odds.
-func (b *Attribution) SetRemoteJobOdds(job string, odds float64) {
+// SetRemoteJobOdds sets what the job's other shards hold against it, as log odds.
+func (a *Attribution) SetRemoteJobOdds(job string, odds float64) {
 	odds = clampLogOdds(odds)
-	if j := b.jobs[job]; j == nil && odds > 0 || j != nil && j.remoteOdds != odds {
-		suspectFor(b.jobs, job).remoteOdds, b.stale = odds, true
+	entry := a.jobs[job]
+	isNews := entry == nil && odds > 0 || entry != nil && entry.remoteOdds != odds
+	if isNews {
+		suspectFor(a.jobs, job).remoteOdds, a.stale = odds, true
 	}
 }
 
-// evidence is what fails on the other side say, as log odds, if the other side is
-// itself the reason with the given probability.
-func (b *Attribution) evidence(other float64, fails int) float64 {
-	accident := math.Pow(b.priors.Transient, float64(min(fails, 3)))
-	return -math.Log(other + (1-other)*accident)
+// evidenceOf is what the failures of a pair say against one side, as log odds, if the
+// other side is the reason with the given probability.
+func (a *Attribution) evidenceOf(pair *failurePair, otherSide float64) float64 {
+	transient := math.Pow(a.priors.Transient, float64(min(pair.failures, maxCountedFailures)))
+	return -math.Log(otherSide + (1-otherSide)*transient)
 }
 
-func logit(p float64) float64        { return math.Log(p / (1 - p)) }
-func logistic(x float64) float64     { return 1 / (1 + math.Exp(-x)) }
-func clampLogOdds(x float64) float64 { return min(max(x, -maxLogOdds), maxLogOdds) }
+// logOdds and probability are each other's inverse.
+func logOdds(probability float64) float64 { return math.Log(probability / (1 - probability)) }
+func probability(odds float64) float64    { return 1 / (1 + math.Exp(-odds)) }
 
-func jobEvidence(p *failurePair) float64     { return p.jobEvidence }
-func machineEvidence(p *failurePair) float64 { return p.machineEvidence }
+func clampLogOdds(odds float64) float64 { return min(max(odds, -maxLogOdds), maxLogOdds) }
 
-// totalOdds adds up all that is held against a party of which a share is at fault.
-func (x *suspect) totalOdds(prior float64, said func(*failurePair) float64) float64 {
-	if x.exonerated {
+// totalOdds adds up all that is held against a suspect, of whose kind a share is faulty.
+// The sum is in the order of names, so that it is rounded alike in every run.
+func (s *suspect) totalOdds(prior float64, against evidence) float64 {
+	if s.exonerated {
 		return -maxLogOdds
 	}
-	v := logit(prior) + x.retainedOdds + x.remoteOdds
-	for _, id := range slices.Sorted(maps.Keys(x.pairs)) {
-		v += said(x.pairs[id])
+	total := logOdds(prior) + s.retainedOdds + s.remoteOdds
+	for _, name := range slices.Sorted(maps.Keys(s.pairs)) {
+		total += against(s.pairs[name])
 	}
-	return v
+	return total
 }
 
-// propagate works out how likely each is the reason: each side is told by each pair
-// how well the other explains it without that very pair.
-func (b *Attribution) propagate() {
-	if !b.stale {
+// propagate works out the odds of all suspects, if they are stale: each pair tells each
+// side how well the other one explains it without that very pair.
+func (a *Attribution) propagate() {
+	if !a.stale {
 		return
 	}
-	b.stale = false
-	for _, j := range b.jobs {
-		for _, p := range j.pairs {
-			p.jobEvidence, p.machineEvidence = 0, 0
+	a.stale = false
+	for _, job := range a.jobs {
+		for _, pair := range job.pairs {
+			pair.jobEvidence, pair.machineEvidence = 0, 0
 		}
 	}
-	// By turns: told both at once, the two sides change places in each round where
-	// several jobs failed on the same machines.
+	// The sides take turns: told both at once, they would change places in each round
+	// where several jobs failed on the same machines.
 	for range propagationRounds {
-		for _, m := range b.machines {
-			m.odds = m.totalOdds(b.priors.FaultyMachine, machineEvidence)
+		for _, machine := range a.machines {
+			machine.odds = machine.totalOdds(a.priors.FaultyMachine, againstMachine)
 		}
-		for _, j := range b.jobs {
-			for id, p := range j.pairs {
-				p.jobEvidence = b.evidence(logistic(clampLogOdds(b.machines[id].odds-p.machineEvidence)), p.failures)
-			}
-			j.odds = clampLogOdds(j.totalOdds(b.priors.FaultyJob, jobEvidence))
-			for _, p := range j.pairs {
-				p.machineEvidence = b.evidence(logistic(clampLogOdds(j.odds-p.jobEvidence)), p.failures)
-			}
+		for _, job := range a.jobs {
+			a.propagateJob(job)
 		}
 	}
-	for _, m := range b.machines {
-		m.odds = clampLogOdds(m.totalOdds(b.priors.FaultyMachine, machineEvidence))
+	for _, machine := range a.machines {
+		machine.odds = clampLogOdds(machine.totalOdds(a.priors.FaultyMachine, againstMachine))
+	}
+}
+
+// propagateJob takes up what a job's machines explain of its failures, and tells them
+// what the job explains.
+func (a *Attribution) propagateJob(job *suspect) {
+	for machine, pair := range job.pairs {
+		machineOdds := clampLogOdds(a.machines[machine].odds - pair.machineEvidence)
+		pair.jobEvidence = a.evidenceOf(pair, probability(machineOdds))
+	}
+	job.odds = clampLogOdds(job.totalOdds(a.priors.FaultyJob, againstJob))
+	for _, pair := range job.pairs {
+		jobOdds := clampLogOdds(job.odds - pair.jobEvidence)
+		pair.machineEvidence = a.evidenceOf(pair, probability(jobOdds))
 	}
 }
 
 // JobFaultProbability is how likely the job was submitted with a mistake.
-func (b *Attribution) JobFaultProbability(id string) float64 {
-	j := b.jobs[id]
-	if j == nil || j.exonerated {
+func (a *Attribution) JobFaultProbability(job string) float64 {
+	entry := a.jobs[job]
+	if entry == nil || entry.exonerated {
 		return 0
 	}
-	b.propagate()
-	return logistic(j.odds)
+	a.propagate()
+	return probability(entry.odds)
 }
 
-// MachineFaultProbability is how likely the machine is sick.
-func (b *Attribution) MachineFaultProbability(id string) float64 {
-	m := b.machines[id]
-	if m == nil {
+// MachineFaultProbability is how likely the machine is faulty.
+func (a *Attribution) MachineFaultProbability(machine string) float64 {
+	entry := a.machines[machine]
+	if entry == nil {
 		return 0
 	}
-	b.propagate()
-	return logistic(m.odds)
+	a.propagate()
+	return probability(entry.odds)
 }
 
-// LocalJobOdds is what this part's failures hold against a job, as log odds, for the
-// owners of its other parts and for the next owner of this one.
-func (b *Attribution) LocalJobOdds(id string) float64 {
-	j := b.jobs[id]
-	if j == nil || j.exonerated {
+// LocalJobOdds is what this shard's failures hold against a job, as log odds, for the
+// owners of its other shards and for the next owner of this one.
+func (a *Attribution) LocalJobOdds(job string) float64 {
+	entry := a.jobs[job]
+	if entry == nil || entry.exonerated {
 		return 0
 	}
-	b.propagate()
-	return max(0, j.odds-logit(b.priors.FaultyJob)-j.remoteOdds)
+	a.propagate()
+	return max(0, entry.odds-logOdds(a.priors.FaultyJob)-entry.remoteOdds)
 }
 
 // Suspects lists the jobs and machines that anything is held against, by name.
-func (b *Attribution) Suspects() (jobs, machines []string) {
-	return slices.Sorted(maps.Keys(b.jobs)), slices.Sorted(maps.Keys(b.machines))
+func (a *Attribution) Suspects() (jobs, machines []string) {
+	return slices.Sorted(maps.Keys(a.jobs)), slices.Sorted(maps.Keys(a.machines))
 }
--- /dev/null
+++ b/internal/faults/history_test.go
@@ -0,0 +1,106 @@
+package faults
+
+import (
+	"fmt"
+	"math/rand/v2"
+)
+
+const (
+	simulatedHistories = 60
+	simulatedMachines  = 60
+	simulatedJobs      = 60 // of a history
+	maxSimulatedTasks  = 40 // of a job
+
+	// holdAt and returnAt are from which probability on a job is held back and a machine
+	// returned; minFailures is how many failures allow a verdict.
+	holdAt      = 0.9
+	returnAt    = 0.99
+	minFailures = 2
+)
+
+// faultyShares are the shares of jobs and machines that are faulty.
+type faultyShares struct{ jobs, machines float64 }
+
+// simulateVerdicts plays random histories, the same in every run, and counts the wrong
+// verdicts.
+func simulateVerdicts(share faultyShares) *verdicts {
+	random := rand.New(rand.NewPCG(7, 1))
+	counts := &verdicts{}
+	for range simulatedHistories {
+		newHistory(share, random).play(counts)
+	}
+	return counts
+}
+
+// history is a number of jobs that run on the same machines, one after the other.
+type history struct {
+	share       faultyShares
+	random      *rand.Rand
+	attribution *Attribution
+	faulty      map[string]bool // machines
+	returned    map[string]bool // machines
+	failures    map[string]int  // by machine
+}
+
+func newHistory(share faultyShares, random *rand.Rand) *history {
+	h := &history{
+		share:       share,
+		random:      random,
+		attribution: New(testPriors),
+		faulty:      map[string]bool{},
+		returned:    map[string]bool{},
+		failures:    map[string]int{},
+	}
+	for i := range simulatedMachines {
+		h.faulty[machineName(i)] = random.Float64() < share.machines
+	}
+	return h
+}
+
+func machineName(index int) string { return fmt.Sprint("M", index) }
+
+func (h *history) play(counts *verdicts) {
+	for i := range simulatedJobs {
+		h.runJob(fmt.Sprint("j", i), counts)
+	}
+	for machine, faulty := range h.faulty {
+		switch {
+		case !faulty:
+			counts.goodMachinesReturned.count(h.returned[machine])
+		case h.failures[machine] >= minFailures:
+			counts.faultyMachinesMissed.count(!h.returned[machine])
+		}
+	}
+}
+
+// runJob tries the tasks of one job, until it is held back.
+func (h *history) runJob(job string, counts *verdicts) {
+	faulty := h.random.Float64() < h.share.jobs
+	held, failures := false, 0
+	for range 1 + h.random.IntN(maxSimulatedTasks) {
+		machine := machineName(h.random.IntN(simulatedMachines))
+		if h.returned[machine] || held && failures > 0 {
+			continue // no more is tried
+		}
+		if faulty || h.faulty[machine] {
+			h.attribution.RecordFailure(job, machine)
+			h.failures[machine]++
+			failures++
+		} else {
+			h.attribution.RecordJobSuccess(job)
+			h.attribution.RecordMachineSuccess(machine)
+		}
+		held = h.attribution.JobFaultProbability(job) >= holdAt
+		if h.attribution.MachineFaultProbability(machine) >= returnAt {
+			h.returned[machine] = true
+			h.attribution.ForgetMachine(machine)
+		}
+	}
+	switch {
+	case !faulty:
+		counts.goodJobsHeld.count(held)
+	case failures >= minFailures:
+		counts.faultyJobsMissed.count(!held)
+	}
+	h.attribution.ForgetJob(job)
+}
