--- /dev/null
+++ b/internal/federation/events.go
@@ -0,0 +1,65 @@
+package federation
+
+// Step names a step of a hand-over. The names are told to operators.
+type Step string
+
+// Steps of a hand-over, at home and at the host.
+const (
+	stepLent      Step = "lent"
+	stepAccepted  Step = "accepted"
+	stepRefused   Step = "refused"
+	stepRunning   Step = "running"
+	stepReturned  Step = "back"
+	stepBorrowed  Step = "borrowed"
+	stepPermitted Step = "permitted"
+	stepRecalled  Step = "recalled"
+	stepEnded     Step = "ended by home"
+)
+
+// Event is one step of a hand-over, for people and for traces: the same lease has events
+// at home and at the host.
+type Event struct {
+	Loan    string  `cbor:"l" json:"loan"`
+	Cluster string  `cbor:"c" json:"cluster"`
+	Host    string  `cbor:"h" json:"host"`
+	Step    Step    `cbor:"w" json:"what"`
+	Reason  string  `cbor:"y,omitempty" json:"why,omitempty"`
+	At      float64 `cbor:"at" json:"at"` // time of day, seconds
+}
+
+// maxEvents are kept: a few hundred leases' worth.
+const maxEvents = 2048
+
+// eventLog is a ring of the latest events.
+type eventLog struct {
+	ring   []Event
+	oldest int // index in a full ring
+}
+
+func (l *eventLog) add(event Event) {
+	if len(l.ring) < maxEvents {
+		l.ring = append(l.ring, event)
+		return
+	}
+	l.ring[l.oldest] = event
+	l.oldest = (l.oldest + 1) % maxEvents
+}
+
+// list gives the events in the order in which they were added.
+func (l *eventLog) list() []Event {
+	events := make([]Event, 0, len(l.ring))
+	events = append(events, l.ring[l.oldest:]...)
+	return append(events, l.ring[:l.oldest]...)
+}
+
+// recordEvent notes a step of a lease now. The reason may be empty.
+func (b *Broker) recordEvent(leaseID string, step Step, reason string) {
+	b.events.add(Event{
+		Loan:    leaseID,
+		Cluster: b.settings.Cluster,
+		Host:    b.host.Settings().Name,
+		Step:    step,
+		Reason:  reason,
+		At:      b.host.WallSeconds(),
+	})
+}
--- /dev/null
+++ b/internal/federation/home_leases.go
@@ -0,0 +1,369 @@
+package federation
+
+import (
+	"cmp"
+	"log/slog"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	"curlewspool/internal/env"
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/remotelease"
+	"curlewspool/internal/settings"
+	"curlewspool/internal/shard"
+)
+
+// This file follows the leases of this cluster's jobs at partners, as home's leader.
+
+// lentLease is one lease of a chunk of ours.
+type lentLease struct {
+	key   remotelease.Key
+	away  shard.LentChunk
+	tasks int
+	since time.Duration // when this leader learned of it
+
+	isAccepted     bool
+	refusal        string // why it is to be taken back, if the host never had it
+	isHandingOver  bool
+	nextHandOverAt time.Duration
+
+	isReturning    bool // the write that takes it back is under way
+	finishedAtHost bool // confirmed durably by the host
+
+	status  LeaseStatus
+	running int
+	done    [][2]int // by the lease's indices, as the host's store says
+
+	storedDone  int // of them, known to our store
+	isSaving    bool
+	lastSavedAt time.Duration
+}
+
+// leaseKey names the lease of a chunk that is away.
+func leaseKey(job string, away *shard.LentChunk) remotelease.Key {
+	return remotelease.Key{Job: job, FirstTask: away.FirstTask, Number: away.LoanNumber}
+}
+
+// sortedLeaseKeys lists leases by job, first task and number.
+func sortedLeaseKeys(leases map[remotelease.Key]*lentLease) []remotelease.Key {
+	return slices.SortedFunc(maps.Keys(leases), func(a, b remotelease.Key) int {
+		return cmp.Or(
+			cmp.Compare(a.Job, b.Job),
+			cmp.Compare(a.FirstTask, b.FirstTask),
+			cmp.Compare(a.Number, b.Number),
+		)
+	})
+}
+
+// rules are the figures under which the chunk was lent; settings may have changed since.
+func (l *lentLease) rules() remotelease.Rules {
+	return remotelease.Rules{
+		Term:         time.Duration(l.away.TermMillis) * time.Millisecond,
+		MachineLease: time.Duration(l.away.LeaseMillis) * time.Millisecond,
+		ClockDrift:   settings.Drift,
+	}
+}
+
+// stepLentLeases brings every lease of ours a step further.
+func (b *Broker) stepLentLeases(now time.Duration) {
+	live := map[remotelease.Key]bool{}
+	for _, job := range slices.Sorted(maps.Keys(b.lentJobs)) {
+		record := b.host.Job(job)
+		if record == nil {
+			continue
+		}
+		for _, away := range record.LentChunks {
+			lease := b.leaseOf(record, away, now)
+			live[lease.key] = true
+			b.stepLease(lease, record, now)
+		}
+	}
+	b.forgetEndedLeases(live)
+	isPast := func(until time.Duration) bool { return now > until }
+	maps.DeleteFunc(b.lendOrders, func(_ uint64, until time.Duration) bool { return isPast(until) })
+	maps.DeleteFunc(b.retryAfter, func(_ jobChunk, until time.Duration) bool { return isPast(until) })
+}
+
+// leaseOf gives the lease of a chunk that is away, a new one if this leader did not know
+// it.
+func (b *Broker) leaseOf(record *shard.JobRecord, away shard.LentChunk, now time.Duration) *lentLease {
+	key := leaseKey(record.Job.ID, &away)
+	if lease := b.lentLeases[key]; lease != nil {
+		return lease
+	}
+	from, to := record.TaskRange(away.Chunk)
+	lease := &lentLease{key: key, away: away, tasks: to - from, since: now}
+	lease.storedDone = countTasks(rangesWithin(record.DoneRanges, from, to-from))
+	b.lentLeases[key] = lease
+	if away.LeaderToken == b.fencingToken {
+		b.renewals.RecordIssued(key)
+		b.Counters.Lent++
+		b.recordEvent(key.JobID(b.settings.Cluster), stepLent, away.Reason)
+	} else {
+		lease.isAccepted = true // perhaps; its state tells
+	}
+	return lease
+}
+
+// forgetEndedLeases drops the leases that are not live any more. The host of one that was
+// not given back, as its job was cancelled, is told before the term ends.
+func (b *Broker) forgetEndedLeases(live map[remotelease.Key]bool) {
+	for key, lease := range b.lentLeases {
+		if live[key] {
+			continue
+		}
+		delete(b.lentLeases, key)
+		p := b.partners[lease.away.Partner]
+		if p != nil && !lease.isReturning && len(p.ended) < maxLeases {
+			p.ended[key.JobID(b.settings.Cluster)] = true
+		}
+	}
+	b.renewals.Retain(func(key remotelease.Key) bool { return live[key] })
+}
+
+// stepLease takes a lease back if it must be or may be; else it hands it over, or saves
+// what is done of it.
+func (b *Broker) stepLease(lease *lentLease, record *shard.JobRecord, now time.Duration) {
+	if lease.isReturning {
+		return
+	}
+	rules := lease.rules()
+	lastRenewal, renewed := b.renewals.LastRenewal(lease.key)
+	expired := b.renewals.IsExpired(lease.key, rules, now)
+	switch {
+	case lease.finishedAtHost:
+		b.takeBack(lease, "the partner gave it back")
+	case lease.refusal != "" && expired:
+		b.takeBack(lease, lease.refusal)
+	case renewed && expired:
+		b.Counters.Lapsed++
+		slog.Info("federation: remote lease expired", "job", lease.key.Job, "lease", lease.key.Number,
+			"partner", lease.away.Partner, "silent", now-lastRenewal)
+		b.takeBack(lease, "its term ran out")
+	case !renewed && now-lease.since > rules.Term:
+		b.takeBack(lease, "the partner did not take it in time")
+	case lease.mayHandOver(now):
+		b.handOver(lease, record)
+	case lease.isAccepted && countTasks(lease.done) > lease.storedDone && !lease.isSaving &&
+		now-lease.lastSavedAt > b.progressSaveInterval(len(b.lentLeases)):
+		b.saveProgress(lease, now)
+	}
+}
+
+// mayHandOver tells whether the host is to be asked to take the lease.
+func (l *lentLease) mayHandOver(now time.Duration) bool {
+	return !l.isAccepted && l.refusal == "" && !l.isHandingOver && now >= l.nextHandOverAt
+}
+
+// progressSaveInterval spaces the writes of what partners finished: together they use at
+// most an eighth of a controller's share of the store's write rate.
+func (b *Broker) progressSaveInterval(leases int) time.Duration {
+	s := b.host.Settings()
+	writesPerSecond := s.Deployment.State.WriteRPS / 8 / float64(len(s.Names()))
+	return max(b.reportInterval(), env.Seconds(float64(leases)/writesPerSecond))
+}
+
+// handOver asks the host to take a lease. The request is idempotent.
+func (b *Broker) handOver(lease *lentLease, record *shard.JobRecord) {
+	p := b.partners[lease.away.Partner]
+	if p == nil {
+		lease.refusal = "it is no partner any more"
+		return
+	}
+	id := lease.key.JobID(b.settings.Cluster)
+	job := record.Job
+	job.ID, job.Tasks = id, lease.tasks
+	if job.Deadline > 0 {
+		job.Deadline = max(1, job.Deadline-(b.host.WallSeconds()-record.AcceptedAt))
+	}
+	request := &LeaseRequest{
+		ID:     id,
+		Job:    job,
+		Offer:  lease.away.OfferID,
+		Done:   rangesWithin(record.DoneRanges, lease.key.FirstTask, lease.tasks),
+		TermMs: lease.away.TermMillis,
+	}
+	lease.isHandingOver = true
+	state := &LeaseState{}
+	b.callPartner(p, PathLeases, request, state, func(status int) {
+		lease.isHandingOver = false
+		lease.nextHandOverAt = b.host.Now() + b.jitter(b.reportInterval()/2)
+		switch status {
+		case http.StatusOK:
+			lease.isAccepted = true
+			b.Counters.Accepted++
+			b.recordEvent(id, stepAccepted, "")
+			b.applyState(lease, state)
+		case http.StatusBadRequest, http.StatusForbidden, http.StatusConflict:
+			lease.refusal = "the partner refused it"
+			b.Counters.Refused++
+			b.recordEvent(id, stepRefused, "")
+			p.emptyOffers++
+		}
+	})
+}
+
+// applyState takes what the host says of a lease.
+func (b *Broker) applyState(lease *lentLease, state *LeaseState) {
+	if lease.status != state.Status && state.Status == StatusRunning {
+		b.recordEvent(lease.key.JobID(b.settings.Cluster), stepRunning, "")
+	}
+	lease.status = state.Status
+	switch state.Status {
+	case StatusQueued, StatusRunning:
+		lease.isAccepted = true
+		lease.running = state.Running
+		lease.done = shiftRanges(state.Done, 0, lease.tasks)
+	case StatusFinished:
+		lease.running = 0
+		lease.finishedAtHost = true
+		lease.done = shiftRanges(state.Done, 0, lease.tasks)
+	case StatusUnknown:
+		lease.isAccepted = false // if the offer still stands it is handed over again
+	}
+}
+
+// mergedDone is what is done of a job, with what the host did of a lease of it.
+func (b *Broker) mergedDone(record *shard.JobRecord, lease *lentLease) [][2]int {
+	return shard.MergeRanges(b.maxDoneRanges(), record.DoneRanges, shiftRanges(lease.done, lease.key.FirstTask, lease.tasks))
+}
+
+// maxDoneRanges of done tasks keep a record within half of the store's largest value.
+func (b *Broker) maxDoneRanges() int {
+	const bytesPerRange = 12
+	return int(b.host.Settings().Deployment.State.ValueKB * 1024 / 2 / bytesPerRange)
+}
+
+// takeBack gives the chunk a shard again. While that is under way no renewal of the lease
+// is answered: one that was would outlive it.
+func (b *Broker) takeBack(lease *lentLease, reason string) {
+	job := lease.key.Job
+	isConfirmed := lease.finishedAtHost
+	lease.isReturning = true
+	b.updateJobRecord(kvstore.PriorityNormal, job, func(record *shard.JobRecord) bool {
+		index := slices.IndexFunc(record.LentChunks, func(away shard.LentChunk) bool { return away.LoanNumber == lease.key.Number })
+		if index < 0 || b.lentLeases[lease.key] != lease {
+			return false
+		}
+		if !isConfirmed && !b.renewals.IsExpired(lease.key, lease.rules(), b.host.Now()) {
+			return false
+		}
+		chunk := record.Job
+		chunk.Tasks = lease.tasks
+		record.LentChunks = slices.Concat(record.LentChunks[:index], record.LentChunks[index+1:])
+		record.ChunkShards = slices.Clone(record.ChunkShards)
+		record.ChunkShards[lease.away.Chunk] = b.host.PlaceJob(&chunk, record.Rank)
+		record.DoneRanges = b.mergedDone(record, lease)
+		return true
+	}, func(ok bool) {
+		if ok {
+			b.tookBack(lease, reason)
+		} else {
+			lease.isReturning = false
+		}
+	})
+}
+
+// tookBack notes that a chunk is back.
+func (b *Broker) tookBack(lease *lentLease, reason string) {
+	job, done := lease.key.Job, countTasks(lease.done)
+	slog.Info("federation: remote lease returned", "job", job, "lease", lease.key.Number,
+		"partner", lease.away.Partner, "done", done, "tasks", lease.tasks, "reason", reason)
+	b.Counters.Back++
+	b.recordEvent(lease.key.JobID(b.settings.Cluster), stepReturned, reason)
+	if done < lease.tasks {
+		// Not at once to the same partner, which has no capacity for it.
+		b.retryAfter[jobChunk{job, lease.away.Chunk}] = b.host.Now() + b.jitter(4*b.reportInterval())
+	}
+	b.host.AnnounceChange(job)
+}
+
+// saveProgress notes in our store what the host finished, so that the loss of a host costs
+// little.
+func (b *Broker) saveProgress(lease *lentLease, now time.Duration) {
+	lease.isSaving, lease.lastSavedAt = true, now
+	saved := 0
+	b.updateJobRecord(kvstore.PriorityLow, lease.key.Job, func(record *shard.JobRecord) bool {
+		if b.lentLeases[lease.key] != lease || lease.isReturning {
+			return false
+		}
+		saved = countTasks(lease.done)
+		record.DoneRanges = b.mergedDone(record, lease)
+		return true
+	}, func(ok bool) {
+		lease.isSaving = false
+		if ok {
+			lease.storedDone = saved
+		}
+	})
+}
+
+// requestStates asks a partner for the state of our leases, and tells it which are over
+// here.
+func (b *Broker) requestStates(p *partner, now time.Duration) {
+	if p.isRequestingStates || now < p.nextStatesAt || len(b.lentLeases)+len(p.ended) == 0 {
+		return
+	}
+	leases, request := b.statesRequest(p)
+	if len(leases)+len(request.End) == 0 {
+		return
+	}
+	p.isRequestingStates = true
+	response := &StatesResponse{}
+	b.callPartner(p, PathStates, request, response, func(status int) {
+		p.isRequestingStates = false
+		p.nextStatesAt = b.host.Now() + b.jitter(b.reportInterval()/2)
+		if status != http.StatusOK || len(response.States) != len(leases) {
+			return
+		}
+		for _, id := range request.End {
+			delete(p.ended, id)
+		}
+		b.Counters.Recalled += len(request.Recall)
+		for i, lease := range leases {
+			if b.lentLeases[lease.key] == lease && !lease.isReturning {
+				b.applyState(lease, &response.States[i])
+			}
+		}
+	})
+}
+
+// statesRequest lists the leases to ask a partner about. Those that have not started there
+// and fit here now are recalled.
+func (b *Broker) statesRequest(p *partner) ([]*lentLease, *StatesRequest) {
+	startable := b.host.StartableCounter()
+	var leases []*lentLease
+	request := &StatesRequest{}
+	for _, key := range sortedLeaseKeys(b.lentLeases) {
+		lease := b.lentLeases[key]
+		if lease.away.Partner != p.settings.Name || !lease.isAccepted || lease.isReturning || lease.finishedAtHost || len(leases) >= maxLeases/2 {
+			continue
+		}
+		leases = append(leases, lease)
+		id := key.JobID(b.settings.Cluster)
+		request.Leases = append(request.Leases, id)
+		if lease.status == StatusQueued && b.fitsAtHome(lease, startable) {
+			request.Recall = append(request.Recall, id)
+		}
+	}
+	for _, id := range slices.Sorted(maps.Keys(p.ended)) {
+		if len(request.End) < maxLeases/2 {
+			request.End = append(request.End, id)
+		}
+	}
+	return leases, request
+}
+
+// fitsAtHome tells whether a shard of ours could start all of a lease now.
+func (b *Broker) fitsAtHome(lease *lentLease, startable func(*protocol.Job) []int) bool {
+	record := b.host.Job(lease.key.Job)
+	if record == nil {
+		return false
+	}
+	chunk := record.Job
+	chunk.Tasks = lease.tasks
+	return slices.Max(startable(&chunk)) >= lease.tasks
+}
--- /dev/null
+++ b/internal/federation/home_renewals.go
@@ -0,0 +1,85 @@
+package federation
+
+import (
+	"log/slog"
+	"net/http"
+	"time"
+
+	"curlewspool/internal/remotelease"
+)
+
+// This file answers renewals, as home's leader.
+
+// AnswerRenewals tells a partner's controller which leases may go on.
+func (b *Broker) AnswerRenewals(from string, request *RenewalsRequest, reply Reply) {
+	if len(request.Leases) > maxLeases {
+		replyProblem(reply, http.StatusBadRequest, "too many loans")
+		return
+	}
+	p := b.settings.Partner(from)
+	theirs := time.Duration(request.LeaseMs) * time.Millisecond
+	if p.Lease > 0 && theirs > p.Lease {
+		slog.Error("federation: a partner's machine lease is longer than the settings say: nothing may run there",
+			"partner", from, "theirs", theirs, "settings", p.Lease)
+		replyProblem(reply, http.StatusConflict, "lease_s of this partner is longer than home's settings say")
+		return
+	}
+	// On proof: a cancellation, a return or another leader before the question must be seen
+	// in the answer.
+	b.host.Store().Sync(func(proven bool) {
+		if !proven || !b.host.IsLeader() {
+			replyUnavailable(reply, reasonStoreUnreachable)
+			return
+		}
+		reply(http.StatusOK, b.renewalsOf(from, request.Leases), 0)
+	})
+}
+
+// renewalsOf answers for leases now, from records that are proven to be current.
+func (b *Broker) renewalsOf(partnerName string, leases []string) *RenewalsResponse {
+	now := b.host.Now()
+	response := &RenewalsResponse{Hold: []string{}, End: []string{}}
+	for _, id := range leases {
+		key, ok := parseKeyOf(id, b.settings.Cluster)
+		if !ok {
+			continue
+		}
+		switch b.leaseStanding(key, partnerName) {
+		case leaseHeld:
+			b.renewals.RecordRenewed(key, now)
+			response.Hold = append(response.Hold, id)
+		case leaseOver:
+			response.End = append(response.End, id)
+		case leaseReturning: // no answer
+		}
+	}
+	return response
+}
+
+// standing is what home's record says of a lease.
+type standing int
+
+const (
+	leaseOver      standing = iota // it does not stand
+	leaseHeld                      // the partner has it
+	leaseReturning                 // it is being taken back, or is over by the partner's own word
+)
+
+// leaseStanding looks a lease up in home's record.
+func (b *Broker) leaseStanding(key remotelease.Key, partnerName string) standing {
+	record := b.host.Job(key.Job)
+	if record == nil {
+		return leaseOver
+	}
+	for _, away := range record.LentChunks {
+		if away.LoanNumber != key.Number || away.FirstTask != key.FirstTask || away.Partner != partnerName {
+			continue
+		}
+		lease := b.lentLeases[key]
+		if lease != nil && (lease.isReturning || lease.finishedAtHost || lease.refusal != "") {
+			return leaseReturning
+		}
+		return leaseHeld
+	}
+	return leaseOver
+}
--- /dev/null
+++ b/internal/federation/host_offers.go
@@ -0,0 +1,151 @@
+package federation
+
+import (
+	"log/slog"
+	"net/http"
+	"slices"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// This file offers capacity to partners, as the host's leader.
+
+// maxHeldOffers bounds the offers that are held at a time, for all homes.
+const maxHeldOffers = 4 * maxResourceRequests
+
+// Why there is no offer.
+const (
+	reasonNotOfferable = "cannot be offered"
+	reasonNoCapacity   = "no room"
+)
+
+// heldOffer is capacity that is held for a home, so that two homes are not offered the
+// same.
+type heldOffer struct {
+	home    string
+	tasks   int
+	cores   float64
+	until   time.Duration
+	shard   int
+	isTaken bool // its lease is accepted
+}
+
+// usage is what a home has here, whether it runs or not.
+type usage struct {
+	cores         float64
+	leases, tasks int
+}
+
+// lentTo sums what a home has here.
+func (b *Broker) lentTo(home string) usage {
+	var used usage
+	for id := range b.borrowedJobs {
+		record := b.host.Job(id)
+		if record == nil || record.Loan == nil || record.Loan.HomeCluster != home {
+			continue
+		}
+		used.cores += float64(record.Job.Tasks) * max(record.Job.Cores, record.Job.GPUs)
+		used.leases++
+		used.tasks += record.Job.Tasks
+	}
+	return used
+}
+
+// offering is the state of the answer to one home's request for offers.
+type offering struct {
+	home       string
+	until      time.Duration   // when new offers end
+	heldCores  map[int]float64 // by shard
+	freeCores  float64         // of the home's share
+	used       usage
+	countTasks func(job *protocol.Job) []int // see Host.StartableCounter
+}
+
+// AnswerOffers answers a home's request for capacity. What is offered is held for a
+// moment.
+func (b *Broker) AnswerOffers(from string, request *OffersRequest, reply Reply) {
+	if len(request.Requests) > maxResourceRequests || len(request.KeptOffers) > maxLeases {
+		replyProblem(reply, http.StatusBadRequest, "too many wants")
+		return
+	}
+	now := b.host.Now()
+	heldCores, heldForHome := b.dropVoidOffers(from, request.KeptOffers, now)
+	used := b.lentTo(from)
+	state := &offering{
+		home:       from,
+		until:      now + 4*b.reportInterval(),
+		heldCores:  heldCores,
+		freeCores:  lendableCores(b.settings.Partner(from), b.host.TotalCores(), used.cores+heldForHome),
+		used:       used,
+		countTasks: b.host.StartableCounter(),
+	}
+	response := &OffersResponse{}
+	for i := range request.Requests {
+		wanted := &request.Requests[i]
+		offer := b.offerFor(wanted, state)
+		slog.Debug("federation: offer", "partner", from, "job", wanted.Job.ID, "tasks", wanted.Tasks,
+			"offered", offer.Tasks, "share_cores", state.freeCores, "reason", offer.Reason)
+		response.Offers = append(response.Offers, offer)
+	}
+	reply(http.StatusOK, response, 0)
+}
+
+// dropVoidOffers drops the offers that have ended, and those to the home that it does not
+// keep. It returns the cores that are held still, by shard, and for leases of the home that
+// are not accepted yet.
+func (b *Broker) dropVoidOffers(home string, kept []uint64, now time.Duration) (heldCores map[int]float64, heldForHome float64) {
+	heldCores = map[int]float64{}
+	for id, offer := range b.offers {
+		isOpen := offer.home == home && !offer.isTaken
+		if now > offer.until || isOpen && !slices.Contains(kept, id) {
+			delete(b.offers, id)
+			continue
+		}
+		heldCores[offer.shard] += offer.cores
+		if isOpen {
+			heldForHome += offer.cores
+		}
+	}
+	return heldCores, heldForHome
+}
+
+// offerFor makes an offer for one request, if there is capacity, and holds it.
+func (b *Broker) offerFor(wanted *ResourceRequest, state *offering) Offer {
+	job := borrowedJob(wanted.Job.ID, state.home, &wanted.Job)
+	job.Tasks = wanted.Tasks
+	if invalidReason(&job) != "" || len(b.offers) >= maxHeldOffers ||
+		state.used.leases >= maxLeases || state.used.tasks+job.Tasks > maxTasks {
+		return Offer{Reason: reasonNotOfferable}
+	}
+	shard, startable := state.bestShard(&job)
+	tasks := offerableTasks(&job, job.Tasks, startable, state.freeCores)
+	if tasks == 0 {
+		b.Counters.Declined++
+		return Offer{Reason: reasonNoCapacity}
+	}
+	cores := float64(job.Tasks) * max(job.Cores, job.GPUs)
+	b.lastOffer++
+	id := b.fencingToken<<16 + b.lastOffer
+	b.offers[id] = &heldOffer{home: state.home, tasks: job.Tasks, cores: cores, until: state.until, shard: shard}
+	state.heldCores[shard] += cores
+	state.used.leases++
+	state.used.tasks += job.Tasks
+	state.freeCores -= cores
+	b.Counters.Offered++
+	return Offer{ID: id, Tasks: tasks}
+}
+
+// bestShard is the one that could start most tasks of a job now, beside what is held.
+func (o *offering) bestShard(job *protocol.Job) (shard, startable int) {
+	weight := max(job.Cores, job.GPUs)
+	for candidate, tasks := range o.countTasks(job) {
+		if weight > 0 {
+			tasks -= int(o.heldCores[candidate]/weight + 0.999)
+		}
+		if tasks > startable {
+			shard, startable = candidate, tasks
+		}
+	}
+	return shard, startable
+}
--- /dev/null
+++ b/internal/federation/host_renewals.go
@@ -0,0 +1,104 @@
+package federation
+
+import (
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	"curlewspool/internal/remotelease"
+	"curlewspool/internal/shard"
+)
+
+// This file renews the leases of borrowed jobs, as any controller of the host.
+
+// renewable is a borrowed job of a shard that is owned here.
+type renewable struct {
+	shard  *shard.Shard
+	permit *remotelease.Permit
+	term   time.Duration
+}
+
+const (
+	// renewalsPerTerm is how often a lease is renewed in its term, and retriesPerTerm how
+	// often at least a renewal without an answer is repeated.
+	renewalsPerTerm = 5
+	retriesPerTerm  = 10
+
+	maxRetryPause = time.Second
+	// minRenewalPause is the least time between two questions for leases without permit.
+	minRenewalPause = time.Second / 2
+)
+
+// requestRenewals asks a home whether what is borrowed from it, in the shards owned here,
+// may go on. Each controller asks for itself: the term counts from when it sent the
+// question, by its own clock.
+func (b *Broker) requestRenewals(p *partner, now time.Duration) {
+	if p.isRequestingRenewals {
+		return
+	}
+	leases := b.renewableLeases(p.settings.Name)
+	if len(leases) == 0 {
+		return
+	}
+	shortest, hasNew := time.Hour, false
+	for _, lease := range leases {
+		shortest = min(shortest, lease.term)
+		hasNew = hasNew || !lease.permit.IsValid(now)
+	}
+	isDue := now >= p.nextRenewalAt || hasNew && now > p.nextRenewalAt-shortest/renewalsPerTerm+minRenewalPause
+	if !isDue {
+		return
+	}
+	p.isRequestingRenewals = true
+	request := &RenewalsRequest{
+		LeaseMs: int64(b.host.Settings().Deployment.Workers.Lease * 1000),
+		Leases:  slices.Sorted(maps.Keys(leases)),
+	}
+	response := &RenewalsResponse{}
+	b.callPartner(p, PathRenewals, request, response, func(status int) {
+		p.isRequestingRenewals = false
+		if status != http.StatusOK {
+			b.Counters.RenewalsMissed++
+			p.nextRenewalAt = b.host.Now() + b.jitter(min(shortest/retriesPerTerm, maxRetryPause))
+			return
+		}
+		p.nextRenewalAt = now + b.jitter(shortest/renewalsPerTerm)
+		b.applyRenewals(leases, response, now)
+	})
+}
+
+// renewableLeases lists, by job, up to maxLeases that are borrowed from a home.
+func (b *Broker) renewableLeases(home string) map[string]renewable {
+	leases := map[string]renewable{}
+	b.host.EachBorrowedJob(func(owner *shard.Shard, record *shard.JobRecord, permit *remotelease.Permit) {
+		if record.Loan.HomeCluster != home || len(leases) >= maxLeases {
+			return
+		}
+		term := time.Duration(record.Loan.TermMillis) * time.Millisecond
+		leases[record.Job.ID] = renewable{owner, permit, term}
+	})
+	return leases
+}
+
+// applyRenewals takes home's answer to a question that was sent at the given time.
+func (b *Broker) applyRenewals(leases map[string]renewable, response *RenewalsResponse, sentAt time.Duration) {
+	for _, id := range response.Hold {
+		lease, ok := leases[id]
+		if !ok {
+			continue
+		}
+		if !lease.permit.IsValid(b.host.Now()) {
+			b.recordEvent(id, stepPermitted, "")
+		}
+		lease.permit.Renew(sentAt, lease.term)
+		lease.shard.PermitRenewed(id)
+		b.Counters.Renewed++
+	}
+	for _, id := range response.End {
+		if lease, ok := leases[id]; ok {
+			lease.permit.Revoke()
+			lease.shard.EndLoan(id)
+		}
+	}
+}
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -72,7 +72,7 @@
 		in, whole := t.Start(ctx, "loan", trace.WithTimestamp(at(list[0])), trace.WithAttributes(attribute.String("loan", name)))
 		before := at(list[0])
 		for _, e := range list {
-			_, s := t.Start(in, e.Step, trace.WithTimestamp(before), trace.WithAttributes(attribute.String("cluster", e.Cluster),
+			_, s := t.Start(in, string(e.Step), trace.WithTimestamp(before), trace.WithAttributes(attribute.String("cluster", e.Cluster),
 				attribute.String("controller", e.Host), attribute.String("why", e.Reason)))
 			if e.Step == "refused" || e.Reason == "its term ran out" {
 				s.SetStatus(codes.Error, e.Reason)
