--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -20,8 +20,15 @@
 	arrivingCores := func(rank int) float64 {
 		return c.arrivals.CoresAboveRank(rank, env.Seconds(c.WallSeconds()))
 	}
-	c.autoscaler.Reconcile(c.machineTypes, c.knownMachines(), retiringMachines(statuses), c.unplacedWork(statuses),
-		c.runningLoad(statuses), arrivingCores, c.recordInitialMachines, c.removeMachines)
+	state := &autoscaler.ClusterState{
+		MachineTypes:  c.machineTypes,
+		Machines:      c.knownMachines(),
+		Retiring:      retiringMachines(statuses),
+		Unplaced:      c.unplacedWork(statuses),
+		Running:       c.runningLoad(statuses),
+		ExpectedCores: arrivingCores,
+	}
+	c.autoscaler.Reconcile(state, autoscaler.Callbacks{Listed: c.recordInitialMachines, Deleted: c.removeMachines})
 	c.scheduleRosterWrite()
 }
 
