--- /dev/null
+++ b/internal/shard/helpers_test.go
@@ -0,0 +1,93 @@
+package shard
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"curlewspool/internal/kvstore"
+	"curlewspool/internal/peermsg"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
+)
+
+// testTimeOfDay is the time of day in tests, in seconds.
+const testTimeOfDay = 1_700_000_000
+
+// silentEnvironment is an environment in which nothing is answered: it only notes the
+// transactions that are sent.
+type silentEnvironment struct {
+	later []func()
+	sent  []protocol.Transaction
+}
+
+func (e *silentEnvironment) Now() time.Duration              { return time.Minute }
+func (e *silentEnvironment) Wall() time.Time                 { return time.Unix(testTimeOfDay, 0) }
+func (e *silentEnvironment) Rand() *rand.Rand                { return rand.New(rand.NewPCG(1, 2)) }
+func (e *silentEnvironment) After(_ time.Duration, f func()) { e.later = append(e.later, f) }
+func (e *silentEnvironment) Send(string, *peermsg.Envelope)  {}
+func (e *silentEnvironment) Call(_, _, path string, in, _ any, _ time.Duration, _ func(int)) {
+	if transaction, ok := in.(*protocol.Transaction); ok && path == "/multi" {
+		e.sent = append(e.sent, *transaction)
+	}
+}
+
+// settle runs all that is scheduled.
+func (e *silentEnvironment) settle() {
+	for len(e.later) > 0 {
+		f := e.later[0]
+		e.later = e.later[1:]
+		f()
+	}
+}
+
+// fakeController is a controller with one machine type, in the silent environment.
+type fakeController struct {
+	w *silentEnvironment
+	l *kvstore.Store
+	s *settings.Settings
+}
+
+func (c *fakeController) Now() time.Duration           { return c.w.Now() }
+func (c *fakeController) WallSeconds() float64         { return testTimeOfDay }
+func (c *fakeController) Store() *kvstore.Store        { return c.l }
+func (c *fakeController) Settings() *settings.Settings { return c.s }
+func (c *fakeController) MachineType(string) *protocol.MachineType {
+	return &protocol.MachineType{Name: "small", Cores: 4, MemoryGB: 16, BootSeconds: 10}
+}
+func (c *fakeController) SendOrders(*Shard, *Machine)                {}
+func (c *fakeController) CanLaunch() bool                            { return true }
+func (c *fakeController) HasDemandFor(*Machine, bool) bool           { return true }
+func (c *fakeController) LargeJobs() map[string]LargeJob             { return nil }
+func (c *fakeController) Deadlines(*protocol.Job) []float64          { return nil }
+func (c *fakeController) BootingCores() (float64, float64)           { return 0, 0 }
+func (c *fakeController) SpotSuffices() bool                         { return false }
+func (c *fakeController) HasSpareFor(*Machine, *protocol.Job) bool   { return false }
+func (c *fakeController) TeamDemand(string) (float64, float64)       { return 0, 0 }
+func (c *fakeController) WithInherited(record *JobRecord) *JobRecord { return record }
+func (c *fakeController) ReassignMachine(string, int, func() protocol.Condition, func() bool, func(bool)) {
+}
+
+// newShardWithQueuedJob makes a shard with one machine, and a job of two tasks whose start
+// waits for the write of its progress.
+func newShardWithQueuedJob(t *testing.T) (*silentEnvironment, *Shard) {
+	t.Helper()
+	env := &silentEnvironment{}
+	config := &settings.Settings{Operators: settings.Defaults()}
+	config.Deployment.Workers.Report = 2
+	config.Deployment.Workers.Lease = 14
+	config.Deployment.State.ValueKB = 16
+	limits := kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MutationsPerTransaction: 12, Members: 1}
+	store := kvstore.New(env, "state", "n0", limits, func(string, []byte) {})
+	guard := func() protocol.Condition { return protocol.Condition{Key: "a/o/0", Revision: 7} }
+	shard := New(0, 100, &fakeController{w: env, l: store, s: config}, guard, 0)
+	shard.UpdateMachine("i-1", &MachineRecord{ID: "i-1", Type: "small", Zone: "a", Address: "w"})
+	report := &protocol.Report{Machine: "i-1", Address: "w", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 100}
+	if !shard.HandleReport(shard.Machines["i-1"], report, true) {
+		t.Fatal("report refused")
+	}
+	array := protocol.Job{ID: "wk-1", Shape: protocol.ShapeArray, Tasks: 2, Cores: 1, Estimate: 9}
+	shard.UpdateJob("wk-1", &JobRecord{Job: array, ChunkSize: 2, ChunkShards: []int{0}}, 3)
+	shard.Schedule()
+	return env, shard
+}
--- a/internal/shard/records.go
+++ b/internal/shard/records.go
@@ -2,178 +2,162 @@
 
 import (
 	"fmt"
-	"log/slog"
-	"sort"
-	"time"
 
-	"curlewspool/internal/agent"
-	"curlewspool/internal/env"
-	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 )
 
-// This file writes what the ledger keeps of the part's jobs.
+// This file defines the records of jobs that the key-value store keeps, and their keys.
+// Field order and cbor tags are the stored format: controllers of several versions share
+// one store, so neither may change.
 
-// ProgressKey is where this part's progress of a job is kept.
-func ProgressKey(id string, part int) string { return fmt.Sprintf("a/p/%s/%d", id, part) }
+// LentShard stands in JobRecord.ChunkShards for a chunk that is lent to a partner
+// cluster: no shard of this cluster has it.
+const LentShard = -1
 
-// finishIfDone writes the job's end when every task is done.
-func (s *Shard) finishIfDone(job *QueuedJob) {
-	if job.remainingTasks > 0 || job.finishing || job.isService() {
-		return
-	}
-	job.finishing = true
-	id := job.Record.Job.ID
-	store := s.controller.Store()
-	store.Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
-		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
-			if s.Jobs[id] != job {
-				return nil, nil
-			}
-			return []protocol.Condition{s.guard(), {Key: JobKey(id), Revision: job.Revision}, {Key: FinalKey(id)}},
-				[]protocol.Mutation{{Put: FinalKey(id), Value: protocol.Encode(&FinalRecord{Nonce: nonce, Status: protocol.JobDone, Tasks: job.Record.Job.Tasks, EndedAt: s.controller.WallSeconds()})},
-					{Delete: JobKey(id)}}
-		},
-		Done: func(ok bool, _ uint64) {
-			job.finishing = false
-			if ok {
-				slog.Info("part: job done", "part", s.ID, "job", id)
-			} else if s.Jobs[id] == job {
-				job.notBefore = s.controller.Now() + s.reportInterval()/4 // the tick tries again
-			}
-		},
-	})
+// DeadlineOverdue is a job deadline, in seconds, that has passed from the start. (Zero
+// would mean that there is no deadline.)
+const DeadlineOverdue = 0.001
+
+// JobRecord is the stored state of a live job, under JobKey.
+type JobRecord struct {
+	Nonce       string       `cbor:"w"` // identifies the write, see kvstore
+	Job         protocol.Job `cbor:"j"`
+	AcceptedAt  float64      `cbor:"at"` // time of day of acceptance, or of release if it had dependencies, seconds
+	Rank        int          `cbor:"r"`  // the leader's margin rank
+	ChunkSize   int          `cbor:"ch"` // tasks of a chunk; the last one may be smaller or larger
+	ChunkShards []int        `cbor:"p"`  // shard of each chunk, or LentShard
+
+	// Anywhere allows the job to be on any machine of its shard from its acceptance on,
+	// without a record that names them. See QueuedJob.mayBeAnywhere.
+	Anywhere bool `cbor:"an,omitempty"`
+
+	// SubmittedAt is the time of day at which a job with dependencies was accepted, set
+	// on its release. Job.Deadline counts from AcceptedAt, the release.
+	SubmittedAt float64 `cbor:"sa,omitempty"`
+
+	LentChunks     []LentChunk `cbor:"aw,omitempty"` // chunks that are at a partner cluster
+	LastLoanNumber uint64      `cbor:"ln,omitempty"` // number of the latest loan; only grows
+	DoneRanges     [][2]int    `cbor:"dn,omitempty"` // tasks known done when a chunk was lent or returned, ends included
+	Loan           *Loan       `cbor:"lo,omitempty"` // set if the job is borrowed from a partner cluster
 }
 
-// progressInterval spaces the writes of a job's progress, so that all of this part's
-// together use at most a quarter of a member's share of the state's writes.
-func (s *Shard) progressInterval(active int) time.Duration {
-	config := s.controller.Settings()
-	share := config.Deployment.State.WriteRPS / 4 / float64(max(1, len(config.Names())))
-	return max(s.reportInterval(), env.Seconds(float64(active)/share))
+// LentChunk records where a lent chunk is. While it stands, the partner may run the
+// chunk's tasks.
+type LentChunk struct {
+	Chunk       int     `cbor:"c"`
+	FirstTask   int     `cbor:"f"`
+	Partner     string  `cbor:"to"` // name of the cluster that has the chunk
+	LoanNumber  uint64  `cbor:"n"`
+	LeaderToken uint64  `cbor:"by"` // fencing token of the leader that ordered the loan
+	LentAt      float64 `cbor:"at"` // time of day, seconds
+	OfferID     uint64  `cbor:"of"` // the partner's offer that was taken
+	Reason      string  `cbor:"y"`  // for operators
+	// Term and machine lease under which the chunk was lent. Settings may change
+	// while it is away.
+	TermMillis  int64 `cbor:"tm"`
+	LeaseMillis int64 `cbor:"lm"`
 }
 
-func (s *Shard) writeProgressIfDue(job *QueuedJob, now, every time.Duration) {
-	if job.hasHeldAttempts && !job.uncertain {
-		s.queueProgressWrite(job, kvstore.PriorityNormal)
-	}
-	if !job.progressDirty || job.finishing || job.mayBeAnywhere() && !job.suspect {
-		return
-	}
-	// All our tasks are done, others run elsewhere: they wait for our word.
-	switch last := job.localDone == job.localTasks && job.remainingTasks > 0; {
-	case last:
-		s.queueProgressWrite(job, kvstore.PriorityHigh)
-	case job.progressWrittenAt == 0 || now-job.progressWrittenAt >= every:
-		s.queueProgressWrite(job, kvstore.PriorityLow)
-	}
+// Loan is what the cluster that runs a borrowed job records of the loan.
+type Loan struct {
+	HomeCluster string `cbor:"h"` // the cluster that lent the job
+	HomeJobID   string `cbor:"j"` // the job's ID in its home cluster
+	FirstTask   int    `cbor:"f"` // the first of the home job's tasks that are lent
+	LoanNumber  uint64 `cbor:"n"`
+	TermMillis  int64  `cbor:"tm"` // how long a renewal by the home cluster holds
+	Ending      bool   `cbor:"e"`  // the job is to be stopped and returned
+	Recall      bool   `cbor:"r"`  // the job is to be returned if none of it is on a machine
+}
+
+// Progress is what a shard's owner records of a job, under ProgressKey. One record names
+// all machines of the shard that may have tasks of the job: a write for each machine
+// would use up a minute of the store's write budget at the start of one large array.
+type Progress struct {
+	Nonce      string   `cbor:"w"`
+	DoneRanges [][2]int `cbor:"d"` // ranges of finished tasks, ends included
+	Running    int      `cbor:"r"` // tasks that are placed
+	Machines   []string `cbor:"o"` // machines of the shard that may have tasks of the job
+	AnyMachine bool     `cbor:"a"` // any machine of the shard may have tasks of the job
+	// FaultEvidence is the evidence that the job itself is faulty, as log odds of the
+	// failures seen in this shard. See package faults.
+	FaultEvidence float64 `cbor:"x,omitempty"`
 }
 
-// queueProgressWrite writes what is done of a job and the machines it may be on. Runs that
-// the ledger does not cover wait for it.
-func (s *Shard) queueProgressWrite(job *QueuedJob, priority kvstore.Priority) {
-	if job.writeQueued[priority] || job.writeInFlight {
-		return
+// machineSet is the set of machines that may have tasks of the job.
+func (p *Progress) machineSet() machineSet {
+	set := machineSet{every: p.AnyMachine, ids: map[string]bool{}}
+	for _, id := range p.Machines {
+		set.ids[id] = true
 	}
-	job.writeQueued[priority] = true
-	id := job.Record.Job.ID
-	key := ProgressKey(id, s.ID)
-	store := s.controller.Store()
-	built := false
-	var ended []*agent.Attempt
-	var next *machineSet
-	store.Write(priority, &kvstore.WriteRequest{
-		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
-			if s.Jobs[id] != job || job.writeInFlight && !built || !built && !job.progressDirty && !job.hasHeldAttempts {
-				return nil, nil
-			}
-			built, job.writeInFlight, job.progressDirty, job.progressWrittenAt = true, true, false, s.controller.Now()
-			ended = append(ended[:0], job.unrecordedEnds...)
-			limit := s.listSizeLimit()
-			progress := &Progress{Nonce: nonce, DoneRanges: job.doneRanges(s.ID, limit), Running: job.placedTasks, FaultEvidence: s.faults.LocalJobOdds(id)}
-			next = s.machinesToRecord(job, limit)
-			progress.AnyMachine = next.every
-			for m := range next.ids {
-				progress.Machines = append(progress.Machines, m)
-			}
-			sort.Strings(progress.Machines)
-			job.pendingMachines = next
-			return []protocol.Condition{s.guard(), store.UnchangedCondition(key)}, []protocol.Mutation{{Put: key, Value: protocol.Encode(progress)}}
-		},
-		Done: func(ok bool, _ uint64) {
-			job.writeQueued[priority] = false
-			if !built { // another one said it
-				return
-			}
-			job.writeInFlight, job.pendingMachines = false, nil
-			if !ok {
-				job.progressDirty = true
-				return // the tick tries again
-			}
-			job.recordedMachines = *next
-			for _, attempt := range ended {
-				attempt.Acknowledge = true
-			}
-			job.unrecordedEnds = job.unrecordedEnds[len(ended):]
-			s.releaseHeld(job)
-			if job.hasHeldAttempts {
-				s.queueProgressWrite(job, kvstore.PriorityNormal)
-			}
-		},
-	})
+	return set
 }
 
-// listSizeLimit is what a list of done tasks, or of machines, may take of a value,
-// in bytes.
-func (s *Shard) listSizeLimit() int {
-	return int(s.controller.Settings().Deployment.State.ValueKB * 1024 * 0.35)
+// FinalRecord is the end of a job, kept for good under FinalKey.
+type FinalRecord struct {
+	Nonce   string             `cbor:"w"`
+	Status  protocol.JobStatus `cbor:"s"` // final
+	Tasks   int                `cbor:"n"`
+	EndedAt float64            `cbor:"at"` // time of day, seconds
+	// DoneRanges lists the finished tasks of a returned loan, ends included.
+	DoneRanges [][2]int `cbor:"d,omitempty"`
+	// CancelledWith is the job whose cancellation cancelled this one, which depended on it.
+	CancelledWith string `cbor:"c,omitempty"`
 }
 
-// machinesToRecord lists the machines that a job is, may be or may soon be on: while
-// some of it is queued all that could take it, so that not every start needs a
-// write of its own.
-func (s *Shard) machinesToRecord(job *QueuedJob, limit int) *machineSet {
-	if job.mayBeAnywhere() {
-		return &machineSet{every: true}
-	}
-	r := &machineSet{ids: map[string]bool{}}
-	for _, pl := range job.placements {
-		r.ids[pl.machine.ID] = true
-	}
-	for _, machine := range job.unwantedAttempts {
-		r.ids[machine.ID] = true
-	}
-	more := job.idleTasks > 0 && !job.isGang()
-	now := s.controller.Now()
-	for _, machine := range s.machinesByID() {
-		if !machine.Reconciled && job.recordedMachines.contains(machine.ID) || more && s.acceptsTasks(machine, now) && s.canRunOn(machine, &job.Record.Job) {
-			r.ids[machine.ID] = true
-		}
-	}
-	size := 0
-	for id := range r.ids {
-		size += len(id) + 3
-	}
-	if size > limit {
-		return &machineSet{every: true}
+// JobKey is the key of a live job's record.
+func JobKey(id string) string { return "a/j/" + id }
+
+// ProgressKey is the key of the progress of a job in a shard.
+func ProgressKey(id string, shardID int) string { return fmt.Sprintf("a/p/%s/%d", id, shardID) }
+
+// FinalKey is the key of a job's end. It is outside of the prefix that controllers cache.
+func FinalKey(id string) string { return "d/" + id }
+
+// AwaitsDependencies tells whether the job waits for other jobs. It is in no shard then,
+// so that no owner can start any of it, whatever its version.
+func (r *JobRecord) AwaitsDependencies() bool {
+	return len(r.ChunkShards) == 0 && len(r.Job.Dependencies) > 0
+}
+
+// Release returns the record of a job that has waited for its dependencies until a time
+// of day, in seconds. Its age begins anew; its deadline goes on counting from its
+// submission, and is overdue if it has passed.
+func (r *JobRecord) Release(at float64) *JobRecord {
+	released := *r
+	released.SubmittedAt = r.AcceptedAt
+	released.AcceptedAt = at
+	if r.Job.Deadline > 0 {
+		released.Job.Deadline = max(r.Job.Deadline-(at-r.AcceptedAt), DeadlineOverdue)
 	}
-	return r
+	return &released
 }
 
-// releaseHeld lets runs start that the ledger covers now.
-func (s *Shard) releaseHeld(job *QueuedJob) {
-	if !job.hasHeldAttempts {
-		return
+// ChunkCount is the number of chunks of the job.
+func (r *JobRecord) ChunkCount() int { return len(r.ChunkShards) }
+
+// TaskRange gives the tasks of a chunk: from the first up to, not including, the second.
+func (r *JobRecord) TaskRange(chunk int) (from, to int) {
+	from = chunk * r.ChunkSize
+	to = from + r.ChunkSize
+	if chunk == len(r.ChunkShards)-1 || to > r.Job.Tasks {
+		to = r.Job.Tasks
 	}
-	job.hasHeldAttempts = false
-	for _, pl := range job.sortedPlacements() {
-		switch {
-		case !pl.attempt.AwaitingRecord:
-		case job.recordCovers(pl.machine.ID):
-			pl.attempt.AwaitingRecord = false
-			s.sendOrdersIfDue(pl.machine)
-		default:
-			job.hasHeldAttempts = true
-		}
+	return from, to
+}
+
+// ShardOf gives the shard of a task; negative: it is in none.
+func (r *JobRecord) ShardOf(task int) int {
+	if task >= r.Job.Tasks || r.ChunkSize <= 0 {
+		return -1
 	}
+	return r.ChunkShards[min(task/r.ChunkSize, len(r.ChunkShards)-1)]
+}
+
+// withChunkIn returns a copy of the record in which one chunk is in another shard.
+func (r *JobRecord) withChunkIn(chunk, shardID int, nonce string) *JobRecord {
+	moved := *r
+	moved.Nonce = nonce
+	moved.ChunkShards = append([]int(nil), r.ChunkShards...)
+	moved.ChunkShards[chunk] = shardID
+	return &moved
 }
--- /dev/null
+++ b/internal/shard/reports.go
@@ -0,0 +1,194 @@
+package shard
+
+import (
+	"log/slog"
+
+	"curlewspool/internal/agent"
+	"curlewspool/internal/protocol"
+)
+
+// This file reconciles the shard with the heartbeat reports of its machines.
+
+// HandleReport takes the report of a machine's agent; false: it is outdated. posted tells
+// a report that the agent sent by itself from an answer to commands.
+func (s *Shard) HandleReport(machine *Machine, report *protocol.Report, posted bool) bool {
+	wasReconciled := machine.Reconciled
+	events, ok := machine.ApplyReport(report, s.controller.Now(), posted)
+	if !ok {
+		return false
+	}
+	if machine.Reconciled != wasReconciled {
+		s.needsPass = true
+		slog.Debug("shard: machine reconciled", "shard", s.ID, "machine", machine.ID, "attempts", len(machine.Attempts))
+	}
+	s.handleEvents(machine, events)
+	if !machine.IsReachable() {
+		s.requeueUnreachable(machine, keepGangs)
+	}
+	return true
+}
+
+// handleEvents follows what a report, or the end of the lease, shows of attempts.
+func (s *Shard) handleEvents(machine *Machine, events []agent.Event) {
+	for _, event := range events {
+		s.needsPass = true
+		switch event.Kind {
+		case agent.AttemptDiscovered:
+			s.handleDiscovered(machine, event.Attempt)
+		case agent.AttemptStarted:
+			s.handleStarted(machine, event.Attempt)
+		case agent.AttemptEnded:
+			s.handleEnded(machine, event.Attempt)
+		case agent.AttemptLost:
+			s.handleLost(machine, event.Attempt)
+		}
+	}
+	if len(events) > 0 && len(machine.Attempts) == 0 {
+		machine.emptySince = s.controller.Now()
+	}
+}
+
+// handleDiscovered takes an attempt that an earlier owner launched. It is adopted if its
+// task is in this shard and nowhere else; otherwise it must go.
+func (s *Shard) handleDiscovered(machine *Machine, attempt *agent.Attempt) {
+	job := s.Jobs[attempt.Job]
+	isLocal := job != nil && attempt.Index < job.Record.Job.Tasks && job.Record.ShardOf(attempt.Index) == s.ID
+	switch {
+	case isLocal && attempt.HasEnded() && attempt.Cause == protocol.CauseDone:
+		s.adoptResult(job, attempt)
+	case !isLocal || !job.canAdopt(attempt):
+		s.rejectDiscovered(machine, attempt, isLocal)
+	case attempt.HasEnded():
+		attempt.Acknowledge = true
+	default:
+		s.adoptRunning(job, machine, attempt)
+	}
+}
+
+// canAdopt tells whether an attempt that was found on a machine can be that of its task.
+func (q *QueuedJob) canAdopt(attempt *agent.Attempt) bool {
+	if q.taskStates[attempt.Index] != taskIdle {
+		return false
+	}
+	return !q.isGang() || q.gangAttempt == 0 || q.gangAttempt == attempt.Number
+}
+
+// adoptResult takes the result of a task that finished under an earlier owner. Another
+// attempt of it is stopped.
+func (s *Shard) adoptResult(job *QueuedJob, attempt *agent.Attempt) {
+	if job.taskStates[attempt.Index] == taskPlaced {
+		if other := job.placements[attempt.TaskID]; other != nil {
+			other.machine.RequestStop(other.attempt, 0)
+			delete(job.placements, attempt.TaskID)
+		}
+	}
+	s.completeTask(job, attempt)
+}
+
+// adoptRunning takes over the attempt of an idle task that an earlier owner launched.
+func (s *Shard) adoptRunning(job *QueuedJob, machine *Machine, attempt *agent.Attempt) {
+	job.setTaskState(attempt.Index, taskPlaced)
+	attempt.Permit = job.permit
+	job.placements[attempt.TaskID] = &placement{machine, attempt}
+	if job.isGang() {
+		job.gangAttempt = attempt.Number
+	}
+	if attempt.State == protocol.TaskCheckpointing { // an earlier owner is stopping it
+		attempt.StopRequested = true
+		attempt.GraceSeconds = job.Record.Job.CheckpointDuration
+		job.gangStopping = true
+	}
+}
+
+// rejectDiscovered has an attempt removed that cannot be adopted. isLocal: its task is in
+// this shard.
+func (s *Shard) rejectDiscovered(machine *Machine, attempt *agent.Attempt, isLocal bool) {
+	attempt.Orphaned = true
+	if attempt.HasEnded() {
+		attempt.Acknowledge = true
+		return
+	}
+	job := s.Jobs[attempt.Job]
+	if isLocal {
+		job.unwantedAttempts[attempt] = machine
+	}
+	slog.Info("shard: unexpected task stopped", "shard", s.ID, "machine", machine.ID, "task", attempt.String(), "job_is_live", job != nil)
+	machine.RequestStop(attempt, 0)
+	s.sendOrdersIfDue(machine)
+}
+
+// handleStarted notes that an attempt runs: its job has begun, its image is there.
+func (s *Shard) handleStarted(machine *Machine, attempt *agent.Attempt) {
+	image := ""
+	if job := s.Jobs[attempt.Job]; job != nil {
+		image = job.Record.Job.Image
+		if job.firstRunningAt == 0 {
+			job.firstRunningAt = s.controller.Now()
+			job.progressDirty = true
+		}
+	}
+	machine.cachedImages[image] = true
+}
+
+// handleEnded follows the end of an attempt: its task is done, or is queued again.
+func (s *Shard) handleEnded(machine *Machine, attempt *agent.Attempt) {
+	job := s.Jobs[attempt.Job]
+	if attempt.Orphaned || job == nil {
+		attempt.Acknowledge = true
+		return
+	}
+	now := s.controller.Now()
+	if attempt.Cause == protocol.CauseDone {
+		if attempt.StartedAt > 0 {
+			s.learnRuntime(&job.Record.Job, now-attempt.StartedAt)
+		}
+		s.recordSuccess(job, machine, attempt)
+		s.completeTask(job, attempt)
+		return
+	}
+	attempt.Acknowledge = true
+	slog.Info("shard: attempt ended without result", "shard", s.ID, "machine", machine.ID, "task", attempt.String(), "cause", attempt.Cause, "checkpointed", attempt.Checkpointed)
+	switch attempt.Cause {
+	case protocol.CauseError:
+		s.recordFailure(job, machine, now)
+	case protocol.CauseMachineFull, protocol.CauseOtherAttemptPresent:
+		machine.fullUntil = now + s.reportInterval()
+	case protocol.CauseUnknownTask:
+		job.notBefore = now + s.reportInterval()
+	}
+	s.requeueTask(job, attempt)
+}
+
+// handleLost follows that an attempt is not on its machine any more and left no end.
+func (s *Shard) handleLost(machine *Machine, attempt *agent.Attempt) {
+	job := s.Jobs[attempt.Job]
+	if attempt.Orphaned || job == nil {
+		return
+	}
+	slog.Info("shard: task lost", "shard", s.ID, "machine", machine.ID, "task", attempt.String())
+	s.requeueTask(job, attempt)
+}
+
+// gangPolicy tells what becomes of gangs on a machine that commands do not reach.
+type gangPolicy bool
+
+const (
+	keepGangs    gangPolicy = false // one answer may have been lost: no gang is broken for that
+	requeueGangs gangPolicy = true  // the machine is known to be unreachable
+)
+
+// requeueUnreachable queues the tasks again that were placed on a machine which commands
+// do not reach, and which are surely not there.
+func (s *Shard) requeueUnreachable(machine *Machine, gangs gangPolicy) {
+	for attempt := range machine.AllAttempts() {
+		job := s.Jobs[attempt.Job]
+		if attempt.MayExist() || job != nil && job.isGang() && gangs == keepGangs {
+			continue
+		}
+		machine.Forget(attempt)
+		if job != nil {
+			slog.Info("shard: task of unreachable machine queued again", "shard", s.ID, "machine", machine.ID, "task", attempt.String())
+			s.requeueTask(job, attempt)
+		}
+	}
+}
--- /dev/null
+++ b/internal/shard/taskranges.go
@@ -0,0 +1,76 @@
+package shard
+
+import (
+	"slices"
+	"sort"
+)
+
+// This file works with lists of tasks as ranges of their indices, ends included, the form
+// in which records keep them.
+
+// encodedRangeSize is the most bytes that a range of tasks takes in an encoded record.
+const encodedRangeSize = 12
+
+// MergeRanges sorts ranges (ends included) and joins those that meet. If maxCount is not
+// 0, the result has at most that many ranges, the longest ones: a task that is left out
+// is only run again. The given lists stay unchanged.
+func MergeRanges(maxCount int, lists ...[][2]int) (merged [][2]int) {
+	all := slices.Concat(lists...)
+	slices.SortStableFunc(all, func(a, b [2]int) int { return a[0] - b[0] })
+	for _, next := range all {
+		if next[1] < next[0] {
+			continue
+		}
+		if n := len(merged); n > 0 && next[0] <= merged[n-1][1]+1 {
+			merged[n-1][1] = max(merged[n-1][1], next[1])
+		} else {
+			merged = append(merged, next)
+		}
+	}
+	if maxCount > 0 && len(merged) > maxCount {
+		slices.SortStableFunc(merged, func(a, b [2]int) int { return b[1] - b[0] - (a[1] - a[0]) })
+		merged = merged[:maxCount]
+	}
+	return merged
+}
+
+// doneRanges lists the finished tasks of the job's chunks in a shard, as many ranges as
+// fit into a limit in bytes, the longest ones: a task that is left out is only started
+// again by a later owner, and ends at once.
+func (q *QueuedJob) doneRanges(shardID, limit int) [][2]int {
+	var ranges [][2]int
+	for chunk, chunkShard := range q.Record.ChunkShards {
+		if chunkShard != shardID {
+			continue
+		}
+		from, to := q.Record.TaskRange(chunk)
+		for task := from; task < to; task++ {
+			if q.taskStates[task] != taskDone {
+				continue
+			}
+			if n := len(ranges); n > 0 && ranges[n-1][1] == task-1 {
+				ranges[n-1][1] = task
+			} else {
+				ranges = append(ranges, [2]int{task, task})
+			}
+		}
+	}
+	if fit := limit / encodedRangeSize; len(ranges) > fit {
+		sort.Slice(ranges, func(i, j int) bool {
+			return ranges[i][1]-ranges[i][0] > ranges[j][1]-ranges[j][0]
+		})
+		ranges = ranges[:fit]
+	}
+	return ranges
+}
+
+// doneTasks lists the finished tasks from one up to, not including, another as ranges of
+// one task.
+func (q *QueuedJob) doneTasks(from, to int) (ranges [][2]int) {
+	for task := from; task < to; task++ {
+		if q.taskStates[task] == taskDone {
+			ranges = append(ranges, [2]int{task, task})
+		}
+	}
+	return ranges
+}
--- /dev/null
+++ b/internal/shard/taskstate.go
@@ -0,0 +1,118 @@
+package shard
+
+// taskState is what a shard knows of a task of a job.
+type taskState uint8
+
+const (
+	taskIdle   taskState = iota // not started, or to be started again
+	taskPlaced                  // on, or about to be on, a machine of this shard
+	taskDone                    // finished, as seen here or recorded by another owner
+)
+
+// recountTasks works out the counters after the chunks of the shard changed.
+func (q *QueuedJob) recountTasks(shardID int) {
+	q.localTasks = 0
+	q.idleTasks = 0
+	q.localDone = 0
+	q.firstIdle = 0
+	for chunk, chunkShard := range q.Record.ChunkShards {
+		if chunkShard != shardID {
+			continue
+		}
+		from, to := q.Record.TaskRange(chunk)
+		for task := from; task < to; task++ {
+			q.localTasks++
+			switch q.taskStates[task] {
+			case taskIdle:
+				q.idleTasks++
+			case taskDone:
+				q.localDone++
+			}
+		}
+	}
+}
+
+// setTaskState moves a task of this shard to another state. A task that is done stays so.
+func (q *QueuedJob) setTaskState(task int, to taskState) {
+	from := q.taskStates[task]
+	if from == to {
+		return
+	}
+	switch from {
+	case taskIdle:
+		q.idleTasks--
+	case taskPlaced:
+		q.placedTasks--
+	case taskDone:
+		return
+	}
+	switch to {
+	case taskIdle:
+		q.idleTasks++
+		q.firstIdle = min(q.firstIdle, task)
+	case taskPlaced:
+		q.placedTasks++
+	case taskDone:
+		q.remainingTasks--
+		q.localDone++
+	}
+	q.taskStates[task] = to
+}
+
+// mergeDone takes over the tasks that another owner, or an earlier one, recorded as done.
+func (q *QueuedJob) mergeDone(ranges [][2]int, shardID int) {
+	for _, done := range ranges {
+		for task := max(done[0], 0); task <= done[1] && task < len(q.taskStates); task++ {
+			if q.taskStates[task] == taskDone {
+				continue
+			}
+			if q.Record.ShardOf(task) == shardID {
+				q.setTaskState(task, taskDone)
+				continue
+			}
+			q.taskStates[task] = taskDone
+			q.remainingTasks--
+		}
+	}
+}
+
+// idleInChunk counts the idle tasks of a chunk; 0 if some of it is placed.
+func (q *QueuedJob) idleInChunk(chunk int) int {
+	from, to := q.Record.TaskRange(chunk)
+	count := 0
+	for task := from; task < to; task++ {
+		switch q.taskStates[task] {
+		case taskPlaced:
+			return 0
+		case taskIdle:
+			count++
+		}
+	}
+	return count
+}
+
+// hasPlacedInChunk tells whether some task of a chunk is on, or about to be on, a machine.
+func (q *QueuedJob) hasPlacedInChunk(chunk int) bool {
+	from, to := q.Record.TaskRange(chunk)
+	for task := from; task < to; task++ {
+		if q.taskStates[task] == taskPlaced {
+			return true
+		}
+	}
+	return false
+}
+
+// nextIdleTasks lists the first idle tasks of the shard, at most so many.
+func (q *QueuedJob) nextIdleTasks(shardID, maxCount int) []int {
+	var tasks []int
+	for task := q.firstIdle; task < len(q.taskStates) && len(tasks) < maxCount; task++ {
+		if q.taskStates[task] != taskIdle || q.Record.ShardOf(task) != shardID {
+			continue
+		}
+		if len(tasks) == 0 {
+			q.firstIdle = task
+		}
+		tasks = append(tasks, task)
+	}
+	return tasks
+}
