--- a/internal/election/registry_test.go
+++ b/internal/election/registry_test.go
@@ -58,3 +58,25 @@
 			after.Holds(key), after.FencingToken(key), before.FencingToken(key))
 	}
 }
+
+// A taker that restarts and takes its key again, now without force, stores until when the
+// owner before may go on: whoever takes the key next knows of it from the record alone.
+func TestPreviousOwnerStaysInRecord(t *testing.T) {
+	service := newFakeService()
+	key := ShardKey(3)
+	service.startMember("previous").Claim(key, false)
+	service.runTimers()
+	service.startMember("taker").Claim(key, true)
+	service.runTimers()
+	deadline := service.wallSeconds() + testLeaseTTL.Seconds()
+	service.startMember("taker").Claim(key, false)
+	service.runTimers()
+
+	var record OwnerRecord
+	if err := protocol.Decode(service.entries[key].Value, &record); err != nil {
+		t.Fatal(err)
+	}
+	if record.Host != "taker" || record.TakenByForce || record.PreviousOwnerUntil != deadline {
+		t.Errorf("stored %+v, want the taker's, not by force, with the previous owner until %v", record, deadline)
+	}
+}
