--- /dev/null
+++ b/internal/controller/keychanges_test.go
@@ -0,0 +1,28 @@
+package controller
+
+import (
+	"testing"
+
+	"curlewspool/internal/shard"
+)
+
+func TestProgressKeys(t *testing.T) {
+	for _, test := range []struct {
+		name, key string
+		id        string
+		shardID   int
+		ok        bool
+	}{
+		{"as it is written", shard.ProgressKey("wk-1", 3), "wk-1", 3, true},
+		{"slash in the job's ID", shard.ProgressKey("wk/1", 12), "wk/1", 12, true},
+		{"no shard", "a/p/wk-1", "", 0, false},
+		{"shard is no number", "a/p/wk-1/x", "wk-1", 0, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			id, shardID, ok := parseProgressKey(test.key)
+			if id != test.id || shardID != test.shardID || ok != test.ok {
+				t.Errorf("got %q, %d, %v, want %q, %d, %v", id, shardID, ok, test.id, test.shardID, test.ok)
+			}
+		})
+	}
+}
--- a/internal/controller/rosterlevels.go
+++ b/internal/controller/rosterlevels.go
@@ -7,16 +7,15 @@
 	"curlewspool/internal/shard"
 )
 
-// This file spreads a group's machines over the values that hold them.
-
-// rosterChange is what is to become of a group's machines.
+// rosterChange is a pending change of a roster group's machines. The group's records are
+// spread over several values, its levels, as each value's size is limited.
 type rosterChange struct {
 	add     []*shard.MachineRecord // in no level yet
 	remove  map[string]bool
 	replace map[string]shard.MachineRecord
 }
 
-// affects tells whether a level has a machine that is to be removed or replaced.
+// affects reports whether a level has a machine that is to be removed or replaced.
 func (c *rosterChange) affects(roster *shard.Roster) bool {
 	return slices.ContainsFunc(roster.Machines, func(m shard.MachineRecord) bool {
 		_, replaced := c.replace[m.ID]
@@ -24,12 +23,12 @@
 	})
 }
 
-// distribute works out which levels are to be written, and with what, so that each of them
-// stays within limit and they are most at the most: one transaction carries them all.
-// A level that was written under a larger limit is taken apart when it is to change, if
-// apart allows it, and otherwise, or if that takes more levels than a transaction holds,
-// left as it is, changes and all. What finds no room is left for the next transaction.
-// moved tells that a machine is to go from one level to another.
+// distribute works out which levels to write, and with what, so that each takes at most
+// limit bytes and there are at most maxLevels of them: one transaction carries them all.
+// A level that was written under a larger limit is split when it is to change. If
+// maySplit is false, or the pieces are more than the transaction holds, the level and
+// its changes are left alone. What finds no room is left for the next transaction, too.
+// hasMoved tells that a machine goes from one level to another.
 func (c *rosterChange) distribute(levels []shard.Roster, limit, maxLevels int, maySplit bool) (written map[int]shard.Roster, hasMoved bool) {
 	written = map[int]shard.Roster{}
 	next := len(levels) // the first level that does not exist
@@ -38,10 +37,12 @@
 			continue
 		}
 		pieces := c.split(&levels[i], limit)
-		if len(written)+len(pieces) > maxLevels || len(pieces) > 1 && !maySplit {
+		isSplit := len(pieces) > 1
+		if len(written)+len(pieces) > maxLevels || isSplit && !maySplit {
 			continue
 		}
-		written[i], hasMoved = pieces[0], hasMoved || len(pieces) > 1
+		written[i] = pieces[0]
+		hasMoved = hasMoved || isSplit
 		for _, piece := range pieces[1:] {
 			written[next] = piece
 			next++
@@ -51,27 +52,31 @@
 	return written, hasMoved
 }
 
-// split is what is left of a level, cut to fit; one at least.
+// split applies the removals and replacements to a level and cuts the rest into pieces of
+// at most limit bytes, one at least.
 func (c *rosterChange) split(roster *shard.Roster, limit int) []shard.Roster {
-	pieces, size := []shard.Roster{{}}, 0
-	for _, m := range roster.Machines {
-		if c.remove[m.ID] {
+	pieces := []shard.Roster{{}}
+	size := 0 // of the last piece
+	for _, machine := range roster.Machines {
+		if c.remove[machine.ID] {
 			continue
 		}
-		if now, ok := c.replace[m.ID]; ok {
-			m = now
+		if replacement, ok := c.replace[machine.ID]; ok {
+			machine = replacement
 		}
-		if size > 0 && size+m.EncodedSize() > limit {
-			pieces, size = append(pieces, shard.Roster{}), 0
+		if size > 0 && size+machine.EncodedSize() > limit {
+			pieces = append(pieces, shard.Roster{})
+			size = 0
 		}
 		last := &pieces[len(pieces)-1]
-		last.Machines, size = append(last.Machines, m), size+m.EncodedSize()
+		last.Machines = append(last.Machines, machine)
+		size += machine.EncodedSize()
 	}
 	return pieces
 }
 
-// fill puts what is to be added where there is room: in levels that are written anyhow,
-// in others, in new ones.
+// fill puts the added machines where there is room: first in levels that are written
+// anyway, then in other levels, then in new ones, of which next is the first.
 func (c *rosterChange) fill(written map[int]shard.Roster, levels []shard.Roster, next, limit, maxLevels int) {
 	remaining := c.add
 	for _, i := range slices.Sorted(maps.Keys(written)) {
