--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"time"
 
+	"curlewspool/internal/agent"
 	"curlewspool/internal/election"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -52,7 +53,7 @@
 	}
 	owned.ScheduleMachine(machine)
 	machine.ReportAnswered(now)
-	commands := nonNilCommands(machine.NextCommands(false, c.CanLaunch(), now))
+	commands := nonNilCommands(machine.NextCommands(agent.InAnswer, c.CanLaunch(), now))
 	reply(http.StatusOK, &protocol.CommandBatch{FencingToken: machine.FencingToken, Commands: commands})
 }
 
@@ -87,30 +88,34 @@
 		// The worker has seen a newer owner, or comes from another shard: an answer with
 		// a lower token would hold it here while its lease runs out.
 		c.claimHigherToken(owned, report.FencingToken)
-		machine.ReportRejected(report, false)
-		return refuseHeartbeat(http.StatusServiceUnavailable, "a higher token is needed")
+		return rejectReport(machine, report, "a higher token is needed")
 	}
-	if !owned.HandleReport(machine, report, true) {
-		if mayBeRestarted := machine.ReportRejected(report, true); mayBeRestarted {
+	if !owned.HandleReport(machine, report, agent.Posted) {
+		if mayBeRestarted := machine.ReportRejected(report, agent.Outdated); mayBeRestarted {
 			c.queryMachine(owned, machine)
 		}
 		return refuseHeartbeat(http.StatusServiceUnavailable, "outdated report")
 	}
 	switch {
 	case machine.IsUnreachable():
-		machine.ReportRejected(report, false)
-		return refuseHeartbeat(http.StatusServiceUnavailable, "does not hear")
+		return rejectReport(machine, report, "does not hear")
 	case owned.ShouldDelayAnswer(machine, now):
-		machine.ReportRejected(report, false)
-		return refuseHeartbeat(http.StatusServiceUnavailable, "waits for a partner's word")
+		return rejectReport(machine, report, "waits for a partner's word")
 	case machine.StopsExceedAnswer(now):
-		machine.ReportRejected(report, false)
+		refusal := rejectReport(machine, report, "more is to stop than an answer holds")
 		c.SendOrders(owned, machine)
-		return refuseHeartbeat(http.StatusServiceUnavailable, "more is to stop than an answer holds")
+		return refusal
 	}
 	return nil
 }
 
+// rejectReport refuses a report that is newer than what is known but must not be answered
+// with commands.
+func rejectReport(machine *shard.Machine, report *protocol.Report, reason string) *heartbeatRefusal {
+	machine.ReportRejected(report, agent.Unanswerable)
+	return refuseHeartbeat(http.StatusServiceUnavailable, reason)
+}
+
 // claimHigherToken claims an owned shard again for a fencing token above one that a worker
 // has seen. A token that the registry cannot have issued says nothing.
 func (c *Controller) claimHigherToken(owned *shard.Shard, seen uint64) {
--- a/internal/controller/httpserver.go
+++ b/internal/controller/httpserver.go
@@ -53,6 +53,11 @@
 
 // serve accepts connections until the listener fails.
 func (s *httpServer) serve(listener net.Listener, maxSockets int) error {
+	return s.newApp(maxSockets).Listener(listener)
+}
+
+// newApp makes the server with its routes.
+func (s *httpServer) newApp(maxSockets int) *fiber.App {
 	app := fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             2 * protocol.MaxBodyBytes, // larger than allowed, so that such bodies get a proper 400
@@ -72,7 +77,7 @@
 	app.Get("/v2/runs/:id", s.handlePoll)
 	app.Post("/v2/runs/:id/abort", s.handleCancel)
 	app.Get(debugStatePath, s.handleDebugState)
-	return app.Listener(listener)
+	return app
 }
 
 // handleServerError answers what no handler answered, such as an unknown path.
--- a/internal/controller/machinecalls.go
+++ b/internal/controller/machinecalls.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"curlewspool/internal/agent"
 	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -46,7 +47,7 @@
 	batch := &protocol.CommandBatch{
 		FencingToken: machine.FencingToken,
 		Incarnation:  max(machine.Incarnation, 1),
-		Commands:     nonNilCommands(machine.NextCommands(true, c.CanLaunch(), c.env.Now())),
+		Commands:     nonNilCommands(machine.NextCommands(agent.Direct, c.CanLaunch(), c.env.Now())),
 	}
 	known := latestReportOf(machine)
 	answer := &protocol.Report{}
@@ -107,7 +108,7 @@
 		machine.ResetIncarnation(c.env.Now())
 		return // it gets a fencing token before anything it says is taken in
 	}
-	owned.HandleReport(machine, report, false)
+	owned.HandleReport(machine, report, agent.Requested)
 }
 
 // queryMachine asks a machine for its status after a report that is older than what is
