--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -116,7 +116,7 @@
 		return !c.reachability.isUnreachable
 	}
 	member := c.peers[name]
-	return now-member.lastReadyAt < 3*c.statusInterval() && !member.status.Unreachable
+	return now-member.lastReadyAt < c.peerTimeout() && !member.status.Unreachable
 }
 
 // lacksOwner reports whether a shard is to be assigned: its owner is absent, or it has none
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -10,7 +10,14 @@
 //   - membership.go, liveness.go, peermessages.go, statusround.go: the other controllers
 //   - heartbeats.go, machinecalls.go, reachability.go: workers
 //   - attestation.go: leases that peers confirm while the key-value store is unavailable
-//   - ownership.go, assign.go: owned shards, and their assignment by the leader
+//   - ownership.go, assignment.go: owned shards, and their assignment by the leader
+//   - roster.go, rosterlevels.go, enrolment.go, machinediscovery.go, machineplacement.go:
+//     the stored records of machines, and the shards of new ones
+//   - jobplacement.go, jobnotices.go, dependencies.go: the shards of jobs, notices of
+//     their changes, and jobs that wait for others
+//   - machinetransfer.go, scaleout.go, capacity.go, headroom.go: machines for work that
+//     lacks them
+//   - federation.go, federationcapacity.go, chunkoffload.go: partner clusters
 //   - host.go, userapi.go, debugstate.go, metering.go: what components, users and
 //     operators ask
 package controller
