--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -16,7 +16,9 @@
 	cloud := &fakeCloud{}
 	autoscaler := New(cloud, testSettings(), 1)
 	autoscaler.lastListing = 0
-	types := catalog(protocol.MachineType{Name: "quick", Cores: 10, MemoryGB: 99, OnDemandPrice: 1, SpotPrice: 0.3, BootSeconds: 20, Zones: []string{"a"}})
+	withSpot := quickType("a")
+	withSpot.SpotPrice = 0.3
+	types := catalog(withSpot)
 	for range 60 {
 		cloud.now += time.Second
 		autoscaler.Reconcile(newState(types, nil, array(300, 0, 180)), noCallbacks)
@@ -61,7 +63,7 @@
 	const usualBootSeconds = 30
 	cloud := &fakeCloud{}
 	autoscaler := New(cloud, testSettings(), 1)
-	types := catalog(protocol.MachineType{Name: "quick", Cores: 10, MemoryGB: 99, OnDemandPrice: 1, BootSeconds: 20, Zones: []string{"a", "b"}})
+	types := catalog(quickType("a", "b"))
 	for i := range overdue {
 		autoscaler.booting[fmt.Sprint("i-", i)] = bootingMachine{offering: offering{"quick", "a", false}}
 	}
@@ -109,7 +111,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			cloud := &fakeCloud{emptyZone: c.emptyZone}
 			autoscaler := New(cloud, testSettings(), 1)
-			types := catalog(protocol.MachineType{Name: "quick", Cores: 10, MemoryGB: 99, OnDemandPrice: 1, BootSeconds: 20, Zones: []string{"a", "b"}})
+			types := catalog(quickType("a", "b"))
 			c.gang.Shape, c.gang.Cores, c.gang.MemoryGB, c.gang.Estimate = protocol.ShapeGang, 10, 1, 30
 			for range 14 { // before any is up
 				cloud.now += time.Second
--- a/internal/autoscaler/demand_test.go
+++ b/internal/autoscaler/demand_test.go
@@ -16,7 +16,7 @@
 
 func quickAndSlow() map[string]*protocol.MachineType {
 	return catalog(
-		protocol.MachineType{Name: "quick", Cores: 10, MemoryGB: 99, BootSeconds: quickBootSeconds, Zones: []string{"a"}},
+		quickType("a"),
 		protocol.MachineType{Name: "slow", Cores: 4, MemoryGB: 99, BootSeconds: slowBootSeconds, Zones: []string{"a"}},
 	)
 }
--- a/internal/autoscaler/fakes_test.go
+++ b/internal/autoscaler/fakes_test.go
@@ -60,6 +60,11 @@
 	return byName
 }
 
+// quickType boots in quickBootSeconds.
+func quickType(zones ...string) protocol.MachineType {
+	return protocol.MachineType{Name: "quick", Cores: 10, MemoryGB: 99, OnDemandPrice: 1, BootSeconds: quickBootSeconds, Zones: zones}
+}
+
 // newState is the state of a cluster in which nothing runs and no more work is expected.
 func newState(types map[string]*protocol.MachineType, machines []KnownMachine, unplaced ...UnplacedWork) *ClusterState {
 	return &ClusterState{
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -1,6 +1,7 @@
 package autoscaler
 
 import (
+	"iter"
 	"maps"
 	"math"
 	"slices"
@@ -22,32 +23,49 @@
 // Where machines are overdue another may be as well: rather another zone, and another
 // type only if it costs little more.
 const (
-	// overdueSurcharge is how much dearer an offering may be whose machines come up in time.
+	// overdueSurcharge is by how much dearer an offering may be, as a share, whose machines
+	// come up in time.
 	overdueSurcharge = 0.25
 	// fullSurchargeAt is how many overdue machines bring the whole surcharge.
 	fullSurchargeAt = 4
 )
 
+// allowedOfferings iterates over what a job may use, by type name, in the zones' order of
+// the catalog, spot machines first.
+func (a *Autoscaler) allowedOfferings(job *protocol.Job) iter.Seq2[offering, *protocol.MachineType] {
+	return func(yield func(offering, *protocol.MachineType) bool) {
+		for _, typeName := range slices.Sorted(maps.Keys(a.machineTypes)) {
+			machineType := a.machineTypes[typeName]
+			for _, zone := range machineType.Zones {
+				for _, spot := range []bool{true, false} {
+					isAllowed := shard.CanRunOn(job, machineType, zone, spot)
+					if isAllowed && !yield(offering{typeName, zone, spot}, machineType) {
+						return
+					}
+				}
+			}
+		}
+	}
+}
+
 // cheapestOffering finds what to rent for up to the given number of a job's tasks: the
 // least money for a task until it is done, boot time included. A boot counts twice, since
 // the job waits for it as well. It returns false if there is nothing to rent.
-func (a *Autoscaler) cheapestOffering(work *UnplacedWork, tasks int, zones *zonePlacement, plan *rentalPlan, now time.Duration) (offering, bool) {
+func (a *Autoscaler) cheapestOffering(
+	work *UnplacedWork, tasks int, zones *zonePlacement, plan *rentalPlan, now time.Duration,
+) (offering, bool) {
 	var cheapest offering
 	lowest := math.Inf(1)
-	for _, typeName := range slices.Sorted(maps.Keys(a.machineTypes)) {
-		machineType := a.machineTypes[typeName]
-		for _, zone := range machineType.Zones {
-			for _, spot := range []bool{true, false} {
-				candidate := offering{typeName, zone, spot}
-				if zones.remaining(zone) <= 0 || plan.probed[candidate] || now < a.backoffs[candidate].until ||
-					!shard.CanRunOn(work.Job, machineType, zone, spot) || !spot && !a.justifiesOnDemand(work, machineType, plan) {
-					continue
-				}
-				useful := min(tasks, zones.remaining(zone))
-				if cost := plan.costPerTask(work, useful, candidate, machineType); cost < lowest {
-					cheapest, lowest = candidate, cost
-				}
-			}
+	for candidate, machineType := range a.allowedOfferings(work.Job) {
+		useful := min(tasks, zones.remaining(candidate.zone))
+		if useful <= 0 || plan.probed[candidate] || now < a.backoffs[candidate].until {
+			continue
+		}
+		if !candidate.spot && !a.justifiesOnDemand(work, machineType, plan) {
+			continue
+		}
+		if cost := plan.costPerTask(work, useful, candidate, machineType); cost < lowest {
+			cheapest, lowest = candidate, cost
 		}
 	}
 	return cheapest, !math.IsInf(lowest, 1)
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -18,7 +18,9 @@
 
 // deleteMachines deletes up to maxDeletions machines in one request, with one request
 // under way at a time. deleted is told the machines that are gone and have records.
-func (a *Autoscaler) deleteMachines(records map[string]*shard.MachineRecord, retiring map[string]bool, now time.Duration, deleted func([]string)) {
+func (a *Autoscaler) deleteMachines(
+	records map[string]*shard.MachineRecord, retiring map[string]bool, now time.Duration, deleted func([]string),
+) {
 	var stale []string // records of machines that are gone
 	for id := range records {
 		if a.IsDeleted(id) {
@@ -40,7 +42,9 @@
 // deletionCandidates lists the machines to delete: those that their shards retire, those
 // that did not come up in time, and those that the list shows as failed or no longer
 // shows (see applyListing).
-func (a *Autoscaler) deletionCandidates(records map[string]*shard.MachineRecord, retiring map[string]bool, now time.Duration) []string {
+func (a *Autoscaler) deletionCandidates(
+	records map[string]*shard.MachineRecord, retiring map[string]bool, now time.Duration,
+) []string {
 	var ids []string
 	for id := range retiring {
 		if records[id] != nil && !a.IsDeleted(id) {
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -84,7 +84,9 @@
 // allowedZones lists the zones with machines that a job may use, by name.
 func (a *Autoscaler) allowedZones(job *protocol.Job) []string {
 	var zones []string
-	a.eachAllowed(job, func(choice offering) { zones = append(zones, choice.zone) })
+	for choice := range a.allowedOfferings(job) {
+		zones = append(zones, choice.zone)
+	}
 	slices.Sort(zones)
 	return slices.Compact(zones)
 }
@@ -92,24 +94,12 @@
 // mayRentIn tells whether the cloud has not refused some machine in the zone that a job
 // may use.
 func (a *Autoscaler) mayRentIn(zone string, job *protocol.Job) bool {
-	mayRent := false
-	a.eachAllowed(job, func(choice offering) {
-		mayRent = mayRent || choice.zone == zone && a.backoffs[choice].failures == 0
-	})
-	return mayRent
-}
-
-// eachAllowed calls visit for each offering that a job may use, in no order.
-func (a *Autoscaler) eachAllowed(job *protocol.Job, visit func(choice offering)) {
-	for _, t := range a.machineTypes {
-		for _, zone := range t.Zones {
-			for _, spot := range []bool{true, false} {
-				if shard.CanRunOn(job, t, zone, spot) {
-					visit(offering{t.Name, zone, spot})
-				}
-			}
+	for choice := range a.allowedOfferings(job) {
+		if choice.zone == zone && a.backoffs[choice].failures == 0 {
+			return true
 		}
 	}
+	return false
 }
 
 // remaining is how many more tasks a zone may take.
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -111,9 +111,21 @@
 		share faultyShares
 		most  errorRates
 	}{
-		{"some of both", faultyShares{jobs: 0.02, machines: 0.01}, errorRates{goodJobsHeld: 0.002, goodMachinesReturned: 0.0005, faultyJobsMissed: 0.1, faultyMachinesMissed: 0.1}},
-		{"many faulty jobs", faultyShares{jobs: 0.15, machines: 0.02}, errorRates{goodJobsHeld: 0.002, goodMachinesReturned: 0.001, faultyJobsMissed: 0.1, faultyMachinesMissed: 0.1}},
-		{"many faulty machines", faultyShares{jobs: 0, machines: 0.1}, errorRates{goodJobsHeld: 0.004, goodMachinesReturned: 0.0005, faultyJobsMissed: 0, faultyMachinesMissed: 0.1}},
+		{
+			name:  "some of both",
+			share: faultyShares{jobs: 0.02, machines: 0.01},
+			most:  errorRates{goodJobsHeld: 0.002, goodMachinesReturned: 0.0005, faultyJobsMissed: 0.1, faultyMachinesMissed: 0.1},
+		},
+		{
+			name:  "many faulty jobs",
+			share: faultyShares{jobs: 0.15, machines: 0.02},
+			most:  errorRates{goodJobsHeld: 0.002, goodMachinesReturned: 0.001, faultyJobsMissed: 0.1, faultyMachinesMissed: 0.1},
+		},
+		{
+			name:  "many faulty machines",
+			share: faultyShares{jobs: 0, machines: 0.1},
+			most:  errorRates{goodJobsHeld: 0.004, goodMachinesReturned: 0.0005, faultyJobsMissed: 0, faultyMachinesMissed: 0.1},
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			got := simulateVerdicts(c.share)
--- a/internal/federation/host_offers.go
+++ b/internal/federation/host_offers.go
@@ -52,8 +52,8 @@
 	return used
 }
 
-// offering is the state of the answer to one home's request for offers.
-type offering struct {
+// offerRound is the state of the answer to one home's request for offers.
+type offerRound struct {
 	home       string
 	until      time.Duration   // when new offers end
 	heldCores  map[int]float64 // by shard
@@ -72,7 +72,7 @@
 	now := b.host.Now()
 	heldCores, heldForHome := b.dropVoidOffers(from, request.KeptOffers, now)
 	used := b.lentTo(from)
-	state := &offering{
+	state := &offerRound{
 		home:       from,
 		until:      now + 4*b.reportInterval(),
 		heldCores:  heldCores,
@@ -111,7 +111,7 @@
 }
 
 // offerFor makes an offer for one request, if there is capacity, and holds it.
-func (b *Broker) offerFor(wanted *ResourceRequest, state *offering) Offer {
+func (b *Broker) offerFor(wanted *ResourceRequest, state *offerRound) Offer {
 	job := borrowedJob(wanted.Job.ID, state.home, &wanted.Job)
 	job.Tasks = wanted.Tasks
 	if invalidReason(&job) != "" || len(b.offers) >= maxHeldOffers ||
@@ -137,11 +137,11 @@
 }
 
 // bestShard is the one that could start most tasks of a job now, beside what is held.
-func (o *offering) bestShard(job *protocol.Job) (shard, startable int) {
+func (r *offerRound) bestShard(job *protocol.Job) (shard, startable int) {
 	weight := max(job.Cores, job.GPUs)
-	for candidate, tasks := range o.countTasks(job) {
+	for candidate, tasks := range r.countTasks(job) {
 		if weight > 0 {
-			tasks -= int(o.heldCores[candidate]/weight + 0.999)
+			tasks -= int(r.heldCores[candidate]/weight + 0.999)
 		}
 		if tasks > startable {
 			shard, startable = candidate, tasks
--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -149,7 +149,10 @@
 
 // hasValidAmounts tells whether all amounts are numbers in a sensible range.
 func hasValidAmounts(job *protocol.Job) bool {
-	amounts := []float64{job.Cores, job.GPUs, job.MemoryGB, job.ImageGB, job.Estimate, job.CheckpointInterval, job.CheckpointDuration, job.Deadline}
+	amounts := []float64{
+		job.Cores, job.GPUs, job.MemoryGB, job.ImageGB,
+		job.Estimate, job.CheckpointInterval, job.CheckpointDuration, job.Deadline,
+	}
 	for _, amount := range amounts {
 		isValid := amount >= 0 && amount < maxAmount
 		if !isValid { // also if it is not a number
--- a/internal/federation/policy.go
+++ b/internal/federation/policy.go
@@ -35,7 +35,9 @@
 // shouldLend tells whether a waiting chunk may and should go to a partner, and why: if it
 // would start later here by more than the partner's ratio, or miss a deadline here and not
 // there. wall is the time of day in seconds.
-func shouldLend(w *WaitingChunk, partner *settings.Partner, team *settings.Team, startsThere time.Duration, wall float64) (reason string, ok bool) {
+func shouldLend(
+	w *WaitingChunk, partner *settings.Partner, team *settings.Team, startsThere time.Duration, wall float64,
+) (reason string, ok bool) {
 	if !mayLend(w, partner, team) {
 		return "", false
 	}
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -68,7 +68,13 @@
 			if current.Revision == 0 {
 				return nil, nil
 			}
-			outcome = shard.FinalRecord{Nonce: nonce, Status: protocol.JobCancelled, Tasks: tasks, EndedAt: s.host.WallSeconds(), CancelledWith: cause}
+			outcome = shard.FinalRecord{
+				Nonce:         nonce,
+				Status:        protocol.JobCancelled,
+				Tasks:         tasks,
+				EndedAt:       s.host.WallSeconds(),
+				CancelledWith: cause,
+			}
 			conditions := []protocol.Condition{current, {Key: shard.FinalKey(job)}}
 			return conditions, []protocol.Mutation{
 				{Put: shard.FinalKey(job), Value: protocol.Encode(&outcome)},
