--- a/internal/federation/federation.go
+++ b/internal/federation/federation.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"curlewspool/internal/env"
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/remotelease"
@@ -57,9 +58,8 @@
 	CallPartner(partner, addr, path string, in, out any, timeout time.Duration, done func(status int))
 }
 
-// Reply answers one request with an HTTP status and a body. retryAfter is the Retry-After
-// in seconds; 0: none.
-type Reply func(status int, body any, retryAfter int)
+// Reply answers one request of a partner.
+type Reply = httpreply.Func
 
 // Broker belongs to the controller's event loop.
 type Broker struct {
@@ -226,22 +226,6 @@
 // statusNoAnswer is the status of a request without an answer.
 const statusNoAnswer = 0
 
-// replyProblem answers with an error that a repeated request would get again.
-func replyProblem(reply Reply, status int, reason string) {
-	reply(status, &protocol.ErrorResponse{Error: reason}, 0)
-}
-
-// replyUnavailable answers that the request should be repeated in a second.
-func replyUnavailable(reply Reply, reason string) {
-	reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: reason}, 1)
-}
-
-// Reasons of an answer without a result.
-const (
-	reasonStoreUnreachable = "state service not reachable"
-	reasonConflict         = "try again"
-)
-
 // updateJobRecord changes a live job's record, as the leader. edit gets a copy, of which it
 // may replace fields but not change what they hold; false: nothing is to be written.
 func (b *Broker) updateJobRecord(priority kvstore.Priority, id string, edit func(record *shard.JobRecord) bool, done func(ok bool)) {
--- a/internal/federation/home_renewals.go
+++ b/internal/federation/home_renewals.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/remotelease"
 )
 
@@ -13,7 +14,7 @@
 // AnswerRenewals tells a partner's controller which leases may go on.
 func (b *Broker) AnswerRenewals(from string, request *RenewalsRequest, reply Reply) {
 	if len(request.Leases) > maxLeases {
-		replyProblem(reply, http.StatusBadRequest, "too many loans")
+		httpreply.Problem(reply, http.StatusBadRequest, "too many loans")
 		return
 	}
 	p := b.settings.Partner(from)
@@ -21,14 +22,14 @@
 	if p.Lease > 0 && theirs > p.Lease {
 		slog.Error("federation: a partner's machine lease is longer than the settings say: nothing may run there",
 			"partner", from, "theirs", theirs, "settings", p.Lease)
-		replyProblem(reply, http.StatusConflict, "lease_s of this partner is longer than home's settings say")
+		httpreply.Problem(reply, http.StatusConflict, "lease_s of this partner is longer than home's settings say")
 		return
 	}
 	// On proof: a cancellation, a return or another leader before the question must be seen
 	// in the answer.
 	b.host.Store().Sync(func(proven bool) {
 		if !proven || !b.host.IsLeader() {
-			replyUnavailable(reply, reasonStoreUnreachable)
+			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 			return
 		}
 		reply(http.StatusOK, b.renewalsOf(from, request.Leases), 0)
--- a/internal/federation/host_leases.go
+++ b/internal/federation/host_leases.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"net/http"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/remotelease"
@@ -17,7 +18,7 @@
 func (b *Broker) AcceptLease(from string, request *LeaseRequest, reply Reply) {
 	key, reason := checkLeaseRequest(from, request)
 	if reason != "" {
-		replyProblem(reply, http.StatusBadRequest, reason)
+		httpreply.Problem(reply, http.StatusBadRequest, reason)
 		return
 	}
 	if b.host.Job(request.ID) != nil {
@@ -45,7 +46,7 @@
 		},
 	}
 	if len(protocol.Encode(record)) > b.host.Settings().MostRecord() {
-		replyProblem(reply, http.StatusBadRequest, "fields too long")
+		httpreply.Problem(reply, http.StatusBadRequest, "fields too long")
 		return
 	}
 	b.storeLease(record, offer, reply)
@@ -75,12 +76,12 @@
 	b.host.Store().Sync(func(proven bool) {
 		switch {
 		case !proven:
-			replyUnavailable(reply, reasonStoreUnreachable)
+			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 		case b.host.Job(id) != nil:
 			reply(http.StatusOK, b.borrowedState(id), 0)
 		default:
 			b.Counters.RefusedHere++
-			replyProblem(reply, http.StatusConflict, "the offer does not stand any more")
+			httpreply.Problem(reply, http.StatusConflict, "the offer does not stand any more")
 		}
 	})
 }
@@ -100,7 +101,7 @@
 		},
 		Done: func(ok bool, _ uint64) {
 			if !ok { // known already, or over, or another leader
-				replyUnavailable(reply, reasonConflict)
+				httpreply.Unavailable(reply, httpreply.ReasonConflict)
 				return
 			}
 			offer.isTaken = true
@@ -112,7 +113,7 @@
 			reply(http.StatusOK, &LeaseState{Status: StatusQueued}, 0)
 		},
 		ShouldAbandon: func() bool {
-			replyUnavailable(reply, reasonStoreUnreachable)
+			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 			return true
 		},
 	})
--- a/internal/federation/host_offers.go
+++ b/internal/federation/host_offers.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/protocol"
 )
 
@@ -66,7 +67,7 @@
 // moment.
 func (b *Broker) AnswerOffers(from string, request *OffersRequest, reply Reply) {
 	if len(request.Requests) > maxResourceRequests || len(request.KeptOffers) > maxLeases {
-		replyProblem(reply, http.StatusBadRequest, "too many wants")
+		httpreply.Problem(reply, http.StatusBadRequest, "too many wants")
 		return
 	}
 	now := b.host.Now()
--- a/internal/federation/host_states.go
+++ b/internal/federation/host_states.go
@@ -4,6 +4,7 @@
 	"errors"
 	"net/http"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -41,7 +42,7 @@
 // wanted back.
 func (b *Broker) AnswerStates(from string, request *StatesRequest, reply Reply) {
 	if len(request.Leases) > maxLeases || len(request.End) > maxLeases || len(request.Recall) > maxLeases {
-		replyProblem(reply, http.StatusBadRequest, "too many loans")
+		httpreply.Problem(reply, http.StatusBadRequest, "too many loans")
 		return
 	}
 	for _, id := range request.End {
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"net/http"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -32,7 +33,7 @@
 		case jobUnknown:
 			replyNoSuchJob(reply)
 		case jobUnavailable:
-			replyUnavailable(reply, reasonStoreUnreachable)
+			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 		}
 	})
 }
@@ -41,7 +42,7 @@
 // and the live record is gone, so no controller can start or finish the job afterwards.
 func (s *Service) cancelLive(job string, reply Reply, attempts int) {
 	if !s.isLive(job) || attempts > maxCancelAttempts {
-		replyUnavailable(reply, reasonConflict)
+		httpreply.Unavailable(reply, httpreply.ReasonConflict)
 		return
 	}
 	single := s.newSingleReply(reply)
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -5,6 +5,7 @@
 	"net/http"
 
 	"curlewspool/internal/dependency"
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
@@ -38,7 +39,7 @@
 // asked, so that "never accepted" is newer than the request.
 func (s *Service) submitDependent(job *protocol.Job, timing submissionTiming, reply Reply) {
 	if !s.host.SupportsDependencies() {
-		s.replyKnownOr(job.ID, reply, func() { replyUnavailable(reply, reasonOldController) })
+		s.replyKnownOr(job.ID, reply, func() { httpreply.Unavailable(reply, reasonOldController) })
 		return
 	}
 	submission := &dependentSubmission{service: s, job: job, timing: timing, reply: reply, unresolved: len(job.Dependencies)}
@@ -81,7 +82,7 @@
 func (d *dependentSubmission) failUnavailable() {
 	if !d.answered {
 		d.answered = true
-		replyUnavailable(d.reply, reasonStoreUnreachable)
+		httpreply.Unavailable(d.reply, httpreply.ReasonStoreUnreachable)
 	}
 }
 
--- a/internal/userapi/replies.go
+++ b/internal/userapi/replies.go
@@ -4,13 +4,13 @@
 	"net/http"
 	"time"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
 
-// Reply answers one request with an HTTP status and a body. retryAfter is the Retry-After
-// in seconds; 0: none.
-type Reply func(status int, body any, retryAfter int)
+// Reply answers one request of a user.
+type Reply = httpreply.Func
 
 const (
 	// userPatienceSeconds is about how long users wait for an answer.
@@ -19,33 +19,19 @@
 	// before its user gives up.
 	answerWithin = 3 * time.Second
 
-	// retryAfterSeconds is the Retry-After when the store cannot be used, and
-	// overloadRetryAfterSeconds that when too many writes wait for it.
-	retryAfterSeconds         = 1
-	overloadRetryAfterSeconds = 2 * retryAfterSeconds
+	// overloadRetryAfterSeconds is the Retry-After when too many writes wait for the store.
+	overloadRetryAfterSeconds = 2 * httpreply.RetryAfterSeconds
 )
 
 // Reasons of an answer without a result. Users see them.
 const (
-	reasonStoreUnreachable = "state service not reachable"
-	reasonStoreSlow        = "state service slow"
-	reasonConflict         = "try again"
-	reasonNoCatalog        = "machine types not known yet"
-	reasonOldController    = "a controller of the version before is up"
+	reasonStoreSlow     = "state service slow"
+	reasonNoCatalog     = "machine types not known yet"
+	reasonOldController = "a controller of the version before is up"
 )
 
-// replyProblem answers with an error that a repeated request would get again.
-func replyProblem(reply Reply, status int, reason string) {
-	reply(status, &protocol.ErrorResponse{Error: reason}, 0)
-}
-
-// replyUnavailable answers that the request should be repeated later.
-func replyUnavailable(reply Reply, reason string) {
-	reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: reason}, retryAfterSeconds)
-}
-
 // replyNoSuchJob answers that no job with this id was ever accepted.
-func replyNoSuchJob(reply Reply) { replyProblem(reply, http.StatusNotFound, "no such job") }
+func replyNoSuchJob(reply Reply) { httpreply.Problem(reply, http.StatusNotFound, "no such job") }
 
 // singleReply passes on the first answer to a request and drops later ones.
 type singleReply struct {
@@ -56,7 +42,7 @@
 // newSingleReply makes one that answers by itself if nothing else does in time.
 func (s *Service) newSingleReply(reply Reply) *singleReply {
 	single := &singleReply{reply: reply}
-	s.env.After(answerWithin, func() { replyUnavailable(single.send, reasonStoreSlow) })
+	s.env.After(answerWithin, func() { httpreply.Unavailable(single.send, reasonStoreSlow) })
 	return single
 }
 
@@ -71,7 +57,7 @@
 // unreachable answers that the store is not reachable, and gives up the write that waits
 // for it (see kvstore.WriteRequest, Refused).
 func (r *singleReply) unreachable() (giveUp bool) {
-	replyUnavailable(r.send, reasonStoreUnreachable)
+	httpreply.Unavailable(r.send, httpreply.ReasonStoreUnreachable)
 	return true
 }
 
@@ -109,7 +95,7 @@
 		case jobUnknown:
 			unknown()
 		case jobUnavailable:
-			replyUnavailable(reply, reasonStoreUnreachable)
+			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 		}
 	})
 }
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"curlewspool/internal/httpreply"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -40,7 +41,7 @@
 		return
 	}
 	if s.host.IsReserved(job.ID) {
-		replyProblem(reply, http.StatusBadRequest, errReservedID.Error())
+		httpreply.Problem(reply, http.StatusBadRequest, errReservedID.Error())
 		return
 	}
 	if outcome, ok := s.finished.Get(job.ID); ok {
@@ -48,15 +49,15 @@
 		return
 	}
 	if s.host.Store().IsUnavailable() {
-		replyUnavailable(reply, reasonStoreUnreachable)
+		httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 		return
 	}
 	if s.host.Job(job.ID) != nil {
-		s.replyKnownOr(job.ID, reply, func() { replyUnavailable(reply, reasonConflict) })
+		s.replyKnownOr(job.ID, reply, func() { httpreply.Unavailable(reply, httpreply.ReasonConflict) })
 		return
 	}
 	if len(s.host.MachineTypes()) == 0 {
-		replyUnavailable(reply, reasonNoCatalog)
+		httpreply.Unavailable(reply, reasonNoCatalog)
 		return
 	}
 	if err := s.checkSchedulable(job); err != nil {
@@ -95,7 +96,7 @@
 func (s *Service) rejectMalformed(body []byte, err error, reply Reply) {
 	job := idOfMalformed(body)
 	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
-		replyProblem(reply, http.StatusBadRequest, err.Error())
+		httpreply.Problem(reply, http.StatusBadRequest, err.Error())
 		return
 	}
 	s.rejectUnlessKnown(job, http.StatusBadRequest, err, reply)
@@ -115,7 +116,7 @@
 
 // rejectUnlessKnown answers with an error, unless the job was accepted before.
 func (s *Service) rejectUnlessKnown(job string, status int, err error, reply Reply) {
-	s.replyKnownOr(job, reply, func() { replyProblem(reply, status, err.Error()) })
+	s.replyKnownOr(job, reply, func() { httpreply.Problem(reply, status, err.Error()) })
 }
 
 // isOverloaded tells whether a submission would wait for the store for longer than its
@@ -201,7 +202,7 @@
 	// If the store's answer came late, the job may have finished since.
 	if _, finished := s.finished.Get(job); !applied || finished || !s.isLive(job) {
 		if !single.answered {
-			s.replyKnownOr(job, single.send, func() { replyUnavailable(single.send, reasonConflict) })
+			s.replyKnownOr(job, single.send, func() { httpreply.Unavailable(single.send, httpreply.ReasonConflict) })
 		}
 		return
 	}
