--- a/internal/autoscaler/inventory.go
+++ b/internal/autoscaler/inventory.go
@@ -24,8 +24,8 @@
 	cloudTimeout = 4 * time.Second
 )
 
-// deletedMemory is how long a confirmed deletion is remembered: longer than any list
-// that still shows the machine is old.
+// deletedMemory is how long a confirmed deletion is remembered, as lists may still show the
+// machine.
 const deletedMemory = 10 * time.Minute
 
 // refreshInventory reads the cloud's list anew if the latest one is old enough. The
