--- /dev/null
+++ b/internal/shard/resources_test.go
@@ -0,0 +1,54 @@
+package shard
+
+import (
+	"testing"
+
+	"curlewspool/internal/protocol"
+)
+
+func TestCountFitting(t *testing.T) {
+	available := resources{cores: 4, gpus: 1, memory: 10}
+	for _, test := range []struct {
+		name  string
+		spec  protocol.Job
+		limit int
+		want  int
+	}{
+		{"by cores", protocol.Job{Cores: 1.5}, 9, 2},
+		{"by GPUs", protocol.Job{Cores: 1, GPUs: 1}, 9, 1},
+		{"by memory", protocol.Job{Cores: 1, MemoryGB: 4}, 9, 2},
+		{"by the limit", protocol.Job{Cores: 1}, 3, 3},
+		{"fractions that add up", protocol.Job{Cores: 0.1}, 99, 40},
+		{"too large", protocol.Job{Cores: 5}, 9, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if count := available.countFitting(&test.spec, test.limit); count != test.want {
+				t.Errorf("%d fit, want %d", count, test.want)
+			}
+		})
+	}
+}
+
+func TestTeamQuota(t *testing.T) {
+	quota := teamQuota{cores: 3, gpus: 2}
+	for _, test := range []struct {
+		name   string
+		spec   protocol.Job
+		tasks  int
+		allows bool
+	}{
+		{"cores", protocol.Job{Cores: 1}, 3, true},
+		{"GPUs", protocol.Job{Cores: 1, GPUs: 1}, 2, true},
+		{"none", protocol.Job{Cores: 4}, 0, false},
+		{"below the quota", protocol.Job{Cores: 0.1}, 5, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if tasks := quota.limitTasks(&test.spec, 5); tasks != test.tasks {
+				t.Errorf("%d tasks, want %d", tasks, test.tasks)
+			}
+			if allows := quota.allowsTask(&test.spec); allows != test.allows {
+				t.Errorf("allows one more task: %v, want %v", allows, test.allows)
+			}
+		})
+	}
+}
