--- a/internal/shard/arraypreemption.go
+++ b/internal/shard/arraypreemption.go
@@ -158,29 +158,27 @@
 	for _, free := range capacities {
 		search.coresLeft += free.machineType.Cores * maxPreemptedShare
 		if !free.hasNonSpotJob {
-			search.slots = append(search.slots, s.occupiedSlots(free.machine, now)...)
+			search.addSlots(free.machine)
 		}
 	}
 	search.bootingCores, search.bootSeconds = s.controller.BootingCores()
 	return search
 }
 
-// occupiedSlots lists what runs on a machine, and until when.
-func (s *Shard) occupiedSlots(machine *Machine, now time.Duration) []occupiedSlot {
-	var slots []occupiedSlot
+// addSlots lists what runs on a machine, and until when.
+func (a *arrayPreemption) addSlots(machine *Machine) {
 	for attempt := range machine.AllAttempts() {
-		job := s.Jobs[attempt.Job]
+		job := a.shard.Jobs[attempt.Job]
 		if job == nil || attempt.HasEnded() {
 			continue
 		}
 		spec := &job.Record.Job
-		slots = append(slots, occupiedSlot{
+		a.slots = append(a.slots, occupiedSlot{
 			placement: placement{machine, attempt},
 			spec:      spec,
-			endsAt:    s.expectedEnd(attempt, spec, now),
+			endsAt:    a.shard.expectedEnd(attempt, spec, a.now),
 		})
 	}
-	return slots
 }
 
 // isExhausted: nothing, or nothing more, may be preempted in this pass.
--- a/internal/shard/placement.go
+++ b/internal/shard/placement.go
@@ -74,6 +74,9 @@
 			candidates = append(candidates, free)
 		}
 	}
+	if len(candidates) == 0 {
+		return nil // the usual case for most jobs of a long queue
+	}
 	for _, free := range candidates {
 		free.placementCost = s.placementCost(free, spec)
 	}
@@ -114,19 +117,19 @@
 	candidates   []*freeCapacity // the one that costs least first
 	wanted       int             // at most so many tasks
 	now          time.Duration
-	placedInZone map[string]int // tasks of the job that are placed already
+	placedInZone map[string]int // tasks of the job that are placed already; nil unless it is spread
 }
 
-func newPlacementPlanner(s *Shard, job *QueuedJob, candidates []*freeCapacity, wanted int, now time.Duration) *placementPlanner {
-	planner := &placementPlanner{
-		shard:        s,
-		job:          job,
-		candidates:   candidates,
-		wanted:       wanted,
-		now:          now,
-		placedInZone: map[string]int{},
+func newPlacementPlanner(s *Shard, job *QueuedJob, candidates []*freeCapacity, wanted int, now time.Duration) placementPlanner {
+	planner := placementPlanner{
+		shard:      s,
+		job:        job,
+		candidates: candidates,
+		wanted:     wanted,
+		now:        now,
 	}
 	if job.Record.Job.SpreadZones {
+		planner.placedInZone = map[string]int{}
 		for _, placed := range job.placements {
 			planner.placedInZone[placed.machine.Zone]++
 		}
@@ -189,8 +192,10 @@
 		}
 		for count := 0; count < limit && free.fits(spec) && p.shard.mayUse(free, p.job, p.now); count++ {
 			free.claim(spec)
-			tasksInZone[machineZone]++
 			plan = append(plan, free)
+			if spec.SpreadZones {
+				tasksInZone[machineZone]++
+			}
 		}
 	}
 	return plan
--- a/internal/shard/reservation.go
+++ b/internal/shard/reservation.go
@@ -78,7 +78,7 @@
 	for _, free := range capacities {
 		if s.canReserveOn(free.machine, job, now) {
 			releases := s.expectedReleases(free.machine, now)
-			options = append(options, machineStartOptions(free, &job.Record.Job, releases, needed, now)...)
+			options = appendStartOptions(options, free, &job.Record.Job, releases, needed, now)
 		}
 	}
 	sort.SliceStable(options, func(a, b int) bool { return options[a].startsAt < options[b].startsAt })
@@ -108,10 +108,9 @@
 	return releases
 }
 
-// machineStartOptions lists when ever more tasks of a job can start together on a machine
+// appendStartOptions appends when ever more tasks of a job can start together on a machine
 // as its attempts end, until the number needed is reached.
-func machineStartOptions(free *freeCapacity, spec *protocol.Job, releases []release, needed int, now time.Duration) []startOption {
-	var options []startOption
+func appendStartOptions(options []startOption, free *freeCapacity, spec *protocol.Job, releases []release, needed int, now time.Duration) []startOption {
 	available, startsAt, most := free.resources, now, 0
 	for released := 0; ; released++ {
 		tasks := available.countFitting(spec, needed)
--- a/internal/shard/reservation_test.go
+++ b/internal/shard/reservation_test.go
@@ -23,7 +23,7 @@
 	return victim{occupiedSlot: occupiedSlot{placement: placement{attempt: attempt}}, gain: 100, cost: cost}
 }
 
-func TestMachineStartOptions(t *testing.T) {
+func TestAppendStartOptions(t *testing.T) {
 	const now = time.Minute
 	oneCore, twoCores := &protocol.Job{Cores: 1}, &protocol.Job{Cores: 2}
 	releases := []release{
@@ -44,7 +44,7 @@
 		{"never enough", 0, 9, []time.Duration{now + 2*time.Second, now + 3*time.Second}, []int{1, 2}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			options := machineStartOptions(testCapacity("a", test.freeCores), twoCores, releases, test.needed, now)
+			options := appendStartOptions(nil, testCapacity("a", test.freeCores), twoCores, releases, test.needed, now)
 			var startsAt []time.Duration
 			var tasks []int
 			for _, option := range options {
