--- a/internal/shard/helpers_test.go
+++ b/internal/shard/helpers_test.go
@@ -11,8 +11,12 @@
 	"curlewspool/internal/settings"
 )
 
-// testTimeOfDay is the time of day in tests, in seconds.
-const testTimeOfDay = 1_700_000_000
+const (
+	// testTimeOfDay is the time of day in tests, in seconds.
+	testTimeOfDay = 1_700_000_000
+	// testToken is the shard's fencing token in tests.
+	testToken = 100
+)
 
 // silentEnvironment is an environment in which nothing is answered: it only notes the
 // transactions that are sent.
@@ -43,15 +47,15 @@
 
 // fakeController is a controller with one machine type, in the silent environment.
 type fakeController struct {
-	w *silentEnvironment
-	l *kvstore.Store
-	s *settings.Settings
+	env    *silentEnvironment
+	store  *kvstore.Store
+	config *settings.Settings
 }
 
-func (c *fakeController) Now() time.Duration           { return c.w.Now() }
+func (c *fakeController) Now() time.Duration           { return c.env.Now() }
 func (c *fakeController) WallSeconds() float64         { return testTimeOfDay }
-func (c *fakeController) Store() *kvstore.Store        { return c.l }
-func (c *fakeController) Settings() *settings.Settings { return c.s }
+func (c *fakeController) Store() *kvstore.Store        { return c.store }
+func (c *fakeController) Settings() *settings.Settings { return c.config }
 func (c *fakeController) MachineType(string) *protocol.MachineType {
 	return &protocol.MachineType{Name: "small", Cores: 4, MemoryGB: 16, BootSeconds: 10}
 }
@@ -68,9 +72,8 @@
 func (c *fakeController) ReassignMachine(string, int, func() protocol.Condition, func() bool, func(bool)) {
 }
 
-// newShardWithQueuedJob makes a shard with one machine, and a job of two tasks whose start
-// waits for the write of its progress.
-func newShardWithQueuedJob(t *testing.T) (*silentEnvironment, *Shard) {
+// newTestShard makes an empty shard under fencing token 100.
+func newTestShard(t testing.TB) (*silentEnvironment, *Shard) {
 	t.Helper()
 	env := &silentEnvironment{}
 	config := &settings.Settings{Operators: settings.Defaults()}
@@ -80,12 +83,38 @@
 	limits := kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MutationsPerTransaction: 12, Members: 1}
 	store := kvstore.New(env, "state", "n0", limits, func(string, []byte) {})
 	guard := func() protocol.Condition { return protocol.Condition{Key: "a/o/0", Revision: 7} }
-	shard := New(0, 100, &fakeController{w: env, l: store, s: config}, guard, 0)
-	shard.UpdateMachine("i-1", &MachineRecord{ID: "i-1", Type: "small", Zone: "a", Address: "w"})
-	report := &protocol.Report{Machine: "i-1", Address: "w", Type: "small", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 100}
-	if !shard.HandleReport(shard.Machines["i-1"], report, true) {
+	controller := &fakeController{env: env, store: store, config: config}
+	return env, New(0, testToken, controller, guard, 0)
+}
+
+// addTestMachine adds a machine to the shard that has reported.
+func addTestMachine(t testing.TB, shard *Shard, id string) {
+	t.Helper()
+	shard.UpdateMachine(id, &MachineRecord{ID: id, Type: "small", Zone: "a", Address: "w"})
+	if !shard.HandleReport(shard.Machines[id], newTestReport(id, 1), true) {
 		t.Fatal("report refused")
 	}
+}
+
+// newTestReport makes a machine's report without tasks.
+func newTestReport(machineID string, sequence uint64) *protocol.Report {
+	return &protocol.Report{
+		Machine:      machineID,
+		Address:      "w",
+		Type:         "small",
+		Zone:         "a",
+		Incarnation:  1,
+		Sequence:     sequence,
+		FencingToken: testToken,
+	}
+}
+
+// newShardWithQueuedJob makes a shard with one machine, and a job of two tasks whose start
+// waits for the write of its progress.
+func newShardWithQueuedJob(t *testing.T) (*silentEnvironment, *Shard) {
+	t.Helper()
+	env, shard := newTestShard(t)
+	addTestMachine(t, shard, "i-1")
 	array := protocol.Job{ID: "wk-1", Shape: protocol.ShapeArray, Tasks: 2, Cores: 1, Estimate: 9}
 	shard.UpdateJob("wk-1", &JobRecord{Job: array, ChunkSize: 2, ChunkShards: []int{0}}, 3)
 	shard.Schedule()
