--- a/internal/simulator/job_end_test.go
+++ b/internal/simulator/job_completion_requests_test.go
@@ -9,8 +9,6 @@
 	"curlewspool/internal/protocol"
 )
 
-// Users' requests that come as a job ends.
-
 // A cancellation, a question and a repeated submission meet the end of a job's last
 // task, with no other trouble or with a state service that answers up to 1.2 s late:
 // before it ends, at the same moment, while its end is stored and after. Whatever was
@@ -25,26 +23,26 @@
 	ends := map[protocol.JobStatus]int{}
 	for i, kind := range kinds {
 		for k, slow := range []float64{0, 1.2} {
-			sub := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5, nil)
-			play := func(meet func(s *Cluster)) *Cluster {
-				s := NewCluster(uint64(830 + 10*i + k))
-				s.ServeAPI()
-				addMachines(s, 3, 0)
-				for _, n := range s.controllerNames {
-					if kind.single {
-						s.Controllers[n].settings.Dispatch.Anywhere = 0
-					}
+			submission := NewSubmission("wk-1", kind.shape, kind.tasks, 1, 5)
+			play := func(meet func(cluster *Cluster)) *Cluster {
+				cluster := NewCluster(uint64(830 + 10*i + k))
+				cluster.ServeAPI()
+				addMachines(cluster, 3, 0)
+				if kind.single {
+					cluster.placeSingleTasksAnywhere()
 				}
-				s.Submit(5, sub)
+				cluster.Submit(5, submission)
 				if slow > 0 {
-					s.At(7, func() {
-						s.State.ResponseDelay = func(string) time.Duration { return time.Duration(slow * s.random.Float64() * float64(time.Second)) }
+					cluster.At(7, func() {
+						cluster.State.ResponseDelay = func(string) time.Duration {
+							return time.Duration(slow * cluster.random.Float64() * float64(time.Second))
+						}
 					})
 				}
-				meet(s)
-				s.Start()
-				s.Run(30)
-				return s
+				meet(cluster)
+				cluster.Start()
+				cluster.Run(30)
+				return cluster
 			}
 			end := 0.0 // when its last task ends, if nobody meddles
 			plain := play(func(*Cluster) {})
@@ -54,26 +52,29 @@
 				}
 			}
 			expectStatus(t, plain, protocol.JobDone, "wk-1")
-			for _, first := range []string{"cancel", "ask", "submit"} {
+			for _, first := range []userAction{cancelAgain, pollAgain, submitAgain} {
 				for d := -0.04 - slow; d < 0.1+slow; d += 0.01 + slow/12 {
-					s := play(func(s *Cluster) {
-						for x, what := range []string{first, "ask", "cancel", "submit", "ask"} {
-							s.At(end+d+(0.003+slow/4)*float64(x), func() { s.repeatRequest(s.controllerNames[x%3], what, sub) })
+					cluster := play(func(cluster *Cluster) {
+						for x, action := range []userAction{first, pollAgain, cancelAgain, submitAgain, pollAgain} {
+							cluster.At(end+d+(0.003+slow/4)*float64(x), func() { cluster.repeatRequest(cluster.controllerNames[x%3], action, submission) })
 						}
-						for x, n := range s.controllerNames {
-							s.At(end+12+float64(x), func() { s.repeatRequest(n, "submit", sub); s.repeatRequest(n, "ask", sub) })
+						for x, name := range cluster.controllerNames {
+							cluster.At(end+12+float64(x), func() {
+								cluster.repeatRequest(name, submitAgain, submission)
+								cluster.repeatRequest(name, pollAgain, submission)
+							})
 						}
 					})
-					for _, b := range s.Violations {
-						t.Errorf("%s, slow %v, %s %.3f s after the end: %s", kind.name, slow, first, d, b)
+					for _, violation := range cluster.Violations {
+						t.Errorf("%s, slow %v, %s %.3f s after the end: %s", kind.name, slow, first, d, violation)
 					}
-					if got := s.ReportedStatus("wk-1"); got != protocol.JobDone && got != protocol.JobCancelled {
+					if got := cluster.ReportedStatus("wk-1"); got != protocol.JobDone && got != protocol.JobCancelled {
 						t.Errorf("%s, slow %v, %s %.3f s after the end: it is %q", kind.name, slow, first, d, got)
 					}
-					if on := s.MachinesRunning("wk-1"); len(on) > 0 {
+					if on := cluster.MachinesRunning("wk-1"); len(on) > 0 {
 						t.Errorf("%s: still on %v", kind.name, on)
 					}
-					ends[s.ReportedStatus("wk-1")]++
+					ends[cluster.ReportedStatus("wk-1")]++
 				}
 			}
 		}
--- /dev/null
+++ b/internal/simulator/random_combined_faults_test.go
@@ -0,0 +1,172 @@
+package simulator
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// combinedFaults are the users' second list for random days (see delayedMessages): each is
+// two or three troubles in the same moments, and random days have others beside them.
+var combinedFaults = []fault{
+	{"users ask all nodes within milliseconds", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.At(at, func() { cluster.pollEveryController(random, 0.2) })
+		cluster.At(at+4*length, func() { cluster.OnStatusReported = nil })
+	}},
+	{"answers of transactions lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+2*length, 0.3+0.5*random.Float64(), 0.001, 0.003, "/multi")
+	}},
+	{"every team at its limit, cancellations, machines not to be had, the leader ends", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		for i, team := range []string{"blue", "green"} {
+			of := ofTeam(team)
+			cluster.Submit(at-4+float64(i)/2, NewSubmission("wk-l"+team, protocol.ShapeArray, 3, 1, 60, of))
+			cluster.Submit(at-3+float64(i)/2, NewSubmission("wk-n"+team, protocol.ShapeArray, 2+random.IntN(5), 1, 3+6*random.Float64(), of))
+			cluster.Cancel(at+random.Float64(), "wk-l"+team)
+			cluster.At(at-0.3, func() {
+				kinds := slices.Sorted(maps.Keys(unreachable))
+				for _, machine := range cluster.machinesWith("wk-l" + team) {
+					if random.IntN(3) > 0 {
+						unreachable[kinds[random.IntN(len(kinds))]](cluster, machine, cluster.now.Seconds(), at+3*length)
+					}
+				}
+			})
+		}
+		for range 1 + random.IntN(3) {
+			cluster.restartQuickly(at-1+length*random.Float64(), 6*random.Float64(), []func() *ControllerProcess{cluster.leaderProcess, cluster.nonLeaderOwner, cluster.largestOwner}[random.IntN(3)])
+		}
+	}},
+	{"cancelled while work changes hands", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		ways := slices.Sorted(maps.Keys(handOvers))
+		handOvers[ways[random.IntN(len(ways))]](cluster, at)
+		cluster.DropCancellationNotices = random.IntN(2) == 0
+		for i := range 12 {
+			id := fmt.Sprintf("wk-h%d", i)
+			cluster.Submit(at-5+9*random.Float64(), NewSubmission(id, protocol.ShapeArray, 1+random.IntN(2), 0.5, 30))
+			cluster.Cancel(at-1+2*length*random.Float64(), id)
+		}
+	}},
+	{"new machines at once, writes late, all end, some can't be asked", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), []float64{0.001, 2}[random.IntN(2)], 8, "/multi")
+		for range 2 + random.IntN(3) {
+			cluster.At(at+random.Float64(), func() { cluster.AddMachine("small", []string{"a", "b"}[random.IntN(2)], random.IntN(2) == 0) })
+		}
+		submitArrays(cluster, "wk-n", at, 3, 4, 3+6*random.Float64())
+		cluster.At(at+1+2*random.Float64(), func() {
+			for _, machine := range cluster.runningMachines() {
+				if random.IntN(3) == 0 {
+					cluster.cutLinksFor(cluster.now.Seconds(), cluster.now.Seconds()+2*length, cluster.machineLinks(machine))
+				}
+			}
+			cluster.crashFor(cluster.now.Seconds(), cluster.now.Seconds()+0.3+2*random.Float64(), cluster.controllerNames...)
+		})
+	}},
+	{"old reports reach the controllers as a leader begins", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		kept := cluster.keepReports(at-6, at, random.IntN(2) == 0)
+		cluster.onLeaderChange(at, func() {
+			for _, name := range cluster.runningControllers() {
+				for _, body := range *kept {
+					if random.IntN(3) == 0 {
+						cluster.after(time.Duration(length*random.Float64()*random.Float64()*float64(time.Second)), func() {
+							cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {})
+						})
+					}
+				}
+			}
+		})
+		cluster.restartQuickly(at, 0.2+2*length*random.Float64(), cluster.leaderProcess)
+		cluster.restartQuickly(at+length*random.Float64(), 0.3, cluster.nonLeaderOwner)
+	}},
+	{"single tasks, a quarter cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		for i := range int(8 * length) {
+			id, t := fmt.Sprintf("wk-q%d", i), at+float64(i)/4
+			cluster.Submit(t, NewSubmission(id, protocol.ShapeArray, 1, 1, 2+4*random.Float64()))
+			if random.IntN(4) == 0 {
+				cluster.Cancel(t+6*random.Float64()*random.Float64(), id)
+			}
+		}
+		cluster.restartQuickly(at+2*length*random.Float64(), 0.3+4*random.Float64(), cluster.leaderProcess)
+	}},
+	{"commands of an owner that ends arrive late", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+		cluster.At(at-1, func() {
+			name, late := cluster.controllerNames[random.IntN(3)], 16*random.Float64()
+			cluster.DelayedRequests = append(cluster.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
+				return time.Duration(late * (0.5 + 0.5*cluster.random.Float64()) * float64(time.Second)), path == "/orders" && from == name && cluster.now.Seconds() < at+1
+			})
+			cluster.restartQuickly(at, 0.2+2*length*random.Float64(), func() *ControllerProcess { return cluster.Controllers[name] })
+			for _, machine := range machines {
+				for _, o := range cluster.controllerNames {
+					if o != name && random.IntN(5) == 0 {
+						cluster.cutLinksFor(at-0.5, at+length, []link{{machine.Address(), o}, {machine.Address(), cluster.apiAddress(o)}})
+					}
+				}
+			}
+		})
+	}},
+	{"jobs that run are cancelled and their machines hang", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		lease := cluster.Settings.Deployment.Workers.Lease
+		cluster.At(at, func() {
+			for i := range 5 {
+				id := fmt.Sprintf("wk-%d", i+1)
+				for _, machine := range cluster.machinesWith(id) {
+					if random.IntN(2) == 0 {
+						machine.Hung = true
+						cluster.after(time.Duration(lease*(0.3+random.Float64())*float64(time.Second)), func() { machine.Hung = false })
+					}
+				}
+				if random.IntN(2) == 0 && cluster.reportedStatus[id] != "" {
+					cluster.requestCancellation(id)
+				}
+			}
+		})
+		cluster.restartQuickly(at+length*random.Float64(), 0.3, cluster.leaderProcess)
+	}},
+	{"jobs are cancelled as they end, writes late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+2*length, 0.3, []float64{0.001, 1}[random.IntN(2)], 5, "/multi")
+		cluster.At(at, func() {
+			cluster.OnJobCompleted = func(id string) {
+				if random.IntN(3) > 0 || cluster.reportedStatus[id] == "" {
+					return
+				}
+				for range 3 {
+					what := []userAction{pollAgain, submitAgain, cancelAgain}[random.IntN(3)]
+					cluster.after(time.Duration(0.4*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, cluster.submissions[id]) })
+				}
+			}
+		})
+		cluster.At(at+4*length, func() { cluster.OnJobCompleted = nil })
+	}},
+}
+
+// The list for random days holds what it says: a day of each by itself, with no other
+// trouble beside it, breaks no rule and ends.
+func TestEachCombinedFault(t *testing.T) {
+	t.Parallel()
+	for i, c := range combinedFaults {
+		for seed := uint64(3000); seed < 3004; seed++ {
+			cluster := NewCluster(seed + 10*uint64(i))
+			cluster.ServeAPI()
+			random := rand.New(rand.NewPCG(seed, 13))
+			cluster.histories.FaultsOver = 75 * time.Second
+			cluster.monitorWaitingJobs()
+			machines := addMachines(cluster, 8, 0)
+			for k := range 6 {
+				cluster.Submit(4+float64(k), NewSubmission(fmt.Sprintf("wk-%d", k+1), protocol.ShapeArray, 2+k, 1, 5+3*float64(k)))
+			}
+			c.do(cluster, random, machines, 13, 6)
+			cluster.Start()
+			cluster.Run(220)
+			for _, wrong := range cluster.checkDay(false) {
+				t.Errorf("%s, seed %d: %s", c.name, seed, wrong)
+			}
+			if strings.Count(cluster.TraceText(), " starts ") < 20 {
+				t.Errorf("%s, seed %d: hardly anything ran", c.name, seed)
+			}
+		}
+	}
+}
