--- a/internal/shard/bench_test.go
+++ b/internal/shard/bench_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"curlewspool/internal/agent"
 	"curlewspool/internal/protocol"
 )
 
@@ -81,7 +82,7 @@
 		for i := range b.N {
 			machine := machines[i%len(machines)]
 			sequence++
-			if !shard.HandleReport(machine, reportWithOneEnd(machine, sequence), true) {
+			if !shard.HandleReport(machine, reportWithOneEnd(machine, sequence), agent.Posted) {
 				b.Fatal("report refused")
 			}
 			shard.ScheduleMachine(machine)
--- a/internal/shard/helpers_test.go
+++ b/internal/shard/helpers_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/agent"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
@@ -91,7 +92,7 @@
 func addTestMachine(t testing.TB, shard *Shard, id string) {
 	t.Helper()
 	shard.UpdateMachine(id, &MachineRecord{ID: id, Type: "small", Zone: "a", Address: "w"})
-	if !shard.HandleReport(shard.Machines[id], newTestReport(id, 1), true) {
+	if !shard.HandleReport(shard.Machines[id], newTestReport(id, 1), agent.Posted) {
 		t.Fatal("report refused")
 	}
 }
--- a/internal/shard/reports.go
+++ b/internal/shard/reports.go
@@ -9,8 +9,8 @@
 
 // This file reconciles the shard with the heartbeat reports of its machines.
 
-// HandleReport takes the report of a machine's agent; false: it is outdated. origin tells
-// a report that the agent sent by itself from an answer to commands.
+// HandleReport takes the report of a machine's agent; false: it is outdated. origin tells a
+// report that the agent sent by itself from an answer to commands.
 func (s *Shard) HandleReport(machine *Machine, report *protocol.Report, origin agent.ReportOrigin) bool {
 	wasReconciled := machine.Reconciled
 	events, ok := machine.ApplyReport(report, s.controller.Now(), origin)
