--- a/internal/simulator/controller_failure_test.go
+++ b/internal/simulator/controller_failure_test.go
@@ -10,7 +10,7 @@
 
 // A controller is lost in the middle and returns; its work goes on.
 func TestControllerFailsAndReturns(t *testing.T) {
-	cluster := playTraced(t, "controller-lost", 2, 90, func(cluster *Cluster) {
+	cluster := playTraced(t, "controller-fails-and-returns", 2, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
 		cluster.At(15, func() { cluster.Controllers["n1"].Crash() })
@@ -24,7 +24,7 @@
 
 // One that does not return is replaced before the leases end.
 func TestControllerFailsForGood(t *testing.T) {
-	cluster := playTraced(t, "controller-away", 3, 90, func(cluster *Cluster) {
+	cluster := playTraced(t, "controller-fails-for-good", 3, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 25))
 		cluster.At(12, func() { cluster.Controllers["n0"].Crash() })
@@ -72,7 +72,7 @@
 // waits for a peer that nobody starts. The next owner starts the gang anew, long
 // before gang_wait_s (40 s) is over.
 func TestOwnerFailsBetweenGangLaunches(t *testing.T) {
-	cluster := playTraced(t, "half-a-gang", 61, 60, func(cluster *Cluster) {
+	cluster := playTraced(t, "owner-lost-between-gang-launches", 61, 60, func(cluster *Cluster) {
 		machines := addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10))
 		launches := 0
@@ -99,7 +99,7 @@
 // Controllers refuse each other's connections: what one accepts reaches the
 // owners through the state service, and nobody takes a part away.
 func TestControllersPartitionedFromEachOther(t *testing.T) {
-	cluster := playTraced(t, "peers-refused", 21, 90, func(cluster *Cluster) {
+	cluster := playTraced(t, "controllers-partitioned", 21, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
@@ -115,7 +115,7 @@
 // The state service refuses one controller alone: it answers its workers until
 // its grant could be over, others take its parts before leases end.
 func TestControllerRefusedByStateService(t *testing.T) {
-	cluster := playTraced(t, "refused-alone", 22, 110, func(cluster *Cluster) {
+	cluster := playTraced(t, "controller-refused", 22, 110, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 50))
 		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
@@ -132,7 +132,7 @@
 // its parts up because others hear its machines, and none of them loses its
 // lease.
 func TestOwnerPartitionedFromMachines(t *testing.T) {
-	cluster := playTraced(t, "deaf-owner", 35, 150, func(cluster *Cluster) {
+	cluster := playTraced(t, "owner-partitioned-from-machines", 35, 150, func(cluster *Cluster) {
 		machines := addMachines(cluster, 9, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 36, 1, 60))
 		var pairs []link
--- a/internal/simulator/controller_pause_test.go
+++ b/internal/simulator/controller_pause_test.go
@@ -11,7 +11,7 @@
 
 // A short stop costs nothing: no part changes hands, no task starts again.
 func TestBriefControllerPause(t *testing.T) {
-	cluster := playTraced(t, "frozen-moment", 31, 90, func(cluster *Cluster) {
+	cluster := playTraced(t, "paused-moment", 31, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 		cluster.Submit(14, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
@@ -27,7 +27,7 @@
 // who see it by that and take its parts before leases end. What it had decided
 // comes too late when it wakes.
 func TestControllerPausedPastItsLease(t *testing.T) {
-	for name, who := range map[string]func(*Cluster) *ControllerProcess{"frozen-leader": (*Cluster).leaderProcess, "frozen-owner": (*Cluster).nonLeaderOwner} {
+	for name, who := range map[string]func(*Cluster) *ControllerProcess{"paused-leader": (*Cluster).leaderProcess, "paused-owner": (*Cluster).nonLeaderOwner} {
 		cluster := playTraced(t, name, 32, 120, func(cluster *Cluster) {
 			addMachines(cluster, 6, 0)
 			cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 40))
@@ -47,7 +47,7 @@
 
 // It wakes into an outage of the state service that began while it stood still.
 func TestControllerResumesDuringStateOutage(t *testing.T) {
-	cluster := playTraced(t, "frozen-into-outage", 33, 150, func(cluster *Cluster) {
+	cluster := playTraced(t, "paused-into-outage", 33, 150, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 		cluster.At(12, func() { cluster.leaderProcess().Pause(9*time.Second, false) })
@@ -61,7 +61,7 @@
 
 // All stand still at once, with a rush on its way.
 func TestAllControllersPaused(t *testing.T) {
-	cluster := playTraced(t, "frozen-all", 34, 120, func(cluster *Cluster) {
+	cluster := playTraced(t, "paused-all", 34, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
 		for _, name := range cluster.controllerNames {
--- a/internal/simulator/dependency_scenarios_test.go
+++ b/internal/simulator/dependency_scenarios_test.go
@@ -12,7 +12,7 @@
 
 // Jobs that need others, each day short enough to be read.
 func TestDependencyScenarios(t *testing.T) {
-	runScenarios(t, "pipeline-", 3100, 160, 60, nil, []scenario{
+	runScenarios(t, "dependency-", 3100, 160, 60, nil, []scenario{
 		{"diamond", func(cluster *Cluster, _ []*Machine) []string { return cluster.submitPipeline(8, "wk-p") }, nil},
 		// The last stage comes when the others are over; another when they are long over.
 		{"last-stage-late", func(cluster *Cluster, _ []*Machine) []string {
--- a/internal/simulator/federation_failure_test.go
+++ b/internal/simulator/federation_failure_test.go
@@ -14,7 +14,7 @@
 // back before the term is over: what runs there goes on.
 func TestPartnerRestartsWithinLoanTerm(t *testing.T) {
 	var ids []string
-	west, east := playTracedFederation(t, "partner-soon-back", 2, 150, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "partner-restarts", 2, 150, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		west.At(16, east.CrashControllers)
 		west.At(19, east.Start)
@@ -29,7 +29,7 @@
 // they know by home's answer that nothing of it may run.
 func TestPartnerDownPastLoanTerm(t *testing.T) {
 	var ids []string
-	west, east := playTracedFederation(t, "partner-late-back", 3, 200, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "partner-down-past-term", 3, 200, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		west.At(16, east.CrashControllers)
 		west.At(90, east.Start)
@@ -41,7 +41,7 @@
 // partner stops it, and goes on when home answers again.
 func TestHomeDownPastLoanTerm(t *testing.T) {
 	var ids []string
-	west, east := playTracedFederation(t, "home-cold", 4, 250, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "home-down", 4, 250, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		west.At(16, west.CrashControllers)
 		west.At(70, west.Start)
@@ -56,7 +56,7 @@
 		name   string
 		oneWay bool
 		from   string
-	}{{"cut", false, "west"}, {"cut-from-home", true, "west"}, {"cut-from-partner", true, "east"}} {
+	}{{"partitioned", false, "west"}, {"partitioned-from-home", true, "west"}, {"partitioned-from-partner", true, "east"}} {
 		var ids []string
 		west, east := playTracedFederation(t, test.name, 5, 250, func(west, east *Cluster) {
 			ids = overloadWest(west, east)
@@ -74,7 +74,7 @@
 // takes back what is done, and hears of it later. Nothing is told twice.
 func TestTaskCompletesWhileLoanIsReclaimed(t *testing.T) {
 	var ids []string
-	west, east := playTracedFederation(t, "done-while-taken-back", 6, 200, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "done-while-reclaimed", 6, 200, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		west.partitionClustersFor(west, east, false, 22, 60)
 	})
@@ -86,7 +86,7 @@
 func TestPartnerClockSkew(t *testing.T) {
 	for i, sign := range []float64{1, -1} {
 		var ids []string
-		west, east := playTracedFederation(t, fmt.Sprintf("clocks-apart-%d", i+1), 7, 200, func(west, east *Cluster) {
+		west, east := playTracedFederation(t, fmt.Sprintf("clock-skew-%d", i+1), 7, 200, func(west, east *Cluster) {
 			ids = overloadWest(west, east)
 			for _, name := range west.controllerNames {
 				west.Controllers[name].ClockRate = 1 + sign*settings.Drift
@@ -125,7 +125,7 @@
 // changed) with work out: the term ends it.
 func TestPartnerRevokesAccess(t *testing.T) {
 	var ids []string
-	west, _ := playTracedFederation(t, "served-no-more", 12, 200, func(west, east *Cluster) {
+	west, _ := playTracedFederation(t, "partner-revokes-access", 12, 200, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		west.At(14, func() {
 			for _, pair := range linksBetween(west, east) {
@@ -145,7 +145,7 @@
 // work goes on.
 func TestPartnerRollingRestart(t *testing.T) {
 	var ids []string
-	west, east := playTracedFederation(t, "partner-rolled", 17, 150, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "partner-rolling-restart", 17, 150, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		for i, name := range east.controllerNames {
 			at := 16 + 3*float64(i)
--- a/internal/simulator/federation_handover_test.go
+++ b/internal/simulator/federation_handover_test.go
@@ -106,7 +106,7 @@
 func TestDuplicatedFederationRequests(t *testing.T) {
 	var ids []string
 	again := 0
-	west, east := playTracedFederation(t, "repeated", 15, 200, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "duplicated-requests", 15, 200, func(west, east *Cluster) {
 		ids = overloadWest(west, east)
 		west.DuplicateRequest = func(to string) time.Duration {
 			if !strings.Contains(to, "fed-") || west.random.IntN(2) > 0 {
--- a/internal/simulator/federation_test.go
+++ b/internal/simulator/federation_test.go
@@ -72,7 +72,7 @@
 // home has room for it.
 func TestLoanRecalledWhenHomeHasCapacity(t *testing.T) {
 	var a, b []string
-	west, east := playTracedFederation(t, "called-back", 16, 200, func(west, east *Cluster) {
+	west, east := playTracedFederation(t, "recalled", 16, 200, func(west, east *Cluster) {
 		a = overloadWest(west, east)
 		west.At(9.6, func() { // what was lent has no room there any more
 			for _, id := range east.machineIDs() {
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -28,7 +28,7 @@
 // A gang larger than any part: machines are lent to its part, and it starts
 // as a whole though small work keeps all parts busy.
 func TestGangAcrossShards(t *testing.T) {
-	cluster := playTraced(t, "gang-across-parts", 14, 120, func(cluster *Cluster) {
+	cluster := playTraced(t, "gang-across-shards", 14, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
 			cluster.Submit(4+6*float64(i), NewSubmission(id, protocol.ShapeArray, 12, 1, 14))
@@ -53,7 +53,7 @@
 // ends sooner than it does: others are stopped, and have saved, before it is
 // late, not once it is.
 func TestGangPreemptsBeforeItIsLate(t *testing.T) {
-	cluster := playTraced(t, "gang-in-time", 29, 90, func(cluster *Cluster) {
+	cluster := playTraced(t, "gang-preempts-before-late", 29, 90, func(cluster *Cluster) {
 		for _, name := range cluster.controllerNames {
 			cluster.Controllers[name].settings.Deployment.Objectives = []settings.Objective{{Kind: "wait", Class: "gang", Within: 10, Share: 0.9}}
 		}
--- a/internal/simulator/machine_failure_test.go
+++ b/internal/simulator/machine_failure_test.go
@@ -11,7 +11,7 @@
 // A machine is silent past its lease: its tasks run again only then, or once
 // the cloud has deleted it.
 func TestMachineSilentPastItsLease(t *testing.T) {
-	cluster := playTraced(t, "silent-worker", 7, 110, func(cluster *Cluster) {
+	cluster := playTraced(t, "silent-machine", 7, 110, func(cluster *Cluster) {
 		machines := addMachines(cluster, 4, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30))
 		cluster.cutLinksFor(12, 60, cluster.machineLinks(machines[0]))
@@ -21,7 +21,7 @@
 
 // A hung machine resumes within its lease, with orders that were held back.
 func TestHungMachineResumesWithinItsLease(t *testing.T) {
-	cluster := playTraced(t, "hung-worker", 8, 110, func(cluster *Cluster) {
+	cluster := playTraced(t, "hung-machine", 8, 110, func(cluster *Cluster) {
 		machines := addMachines(cluster, 4, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 16, 1, 30))
 		cluster.Submit(8, NewSubmission("wk-2", protocol.ShapeArray, 8, 1, 10))
--- a/internal/simulator/more_overlapping_faults_test.go
+++ b/internal/simulator/more_overlapping_faults_test.go
@@ -18,7 +18,7 @@
 		// Six jobs are called off within a fifth of a second while five of their machines
 		// hang; a moment later the state service refuses the leader alone, and a second
 		// later it is down for longer than cancel_s.
-		{"called-off-at-the-refusal", func(cluster *Cluster, machines []*Machine) []string {
+		{"cancelled-at-the-refusal", func(cluster *Cluster, machines []*Machine) []string {
 			for i := range 6 {
 				id := fmt.Sprintf("wk-c%d", i)
 				cluster.Submit(7+float64(i)/10, NewSubmission(id, protocol.ShapeArray, 1, 1, 200))
@@ -40,7 +40,7 @@
 		}},
 		// A team is at its limit when its owner and the leader end; two of its machines
 		// can't be asked; the job that fills the limit is cancelled, another of the team waits.
-		{"at-the-limit", func(cluster *Cluster, _ []*Machine) []string {
+		{"at-the-team-limit", func(cluster *Cluster, _ []*Machine) []string {
 			blue := ofTeam("blue")
 			cluster.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 9, 1, 60, blue))
 			cluster.Submit(9, NewSubmission("wk-5", protocol.ShapeArray, 5, 1, 6, blue))
@@ -68,7 +68,7 @@
 		// The part that keeps a team's limit loses all its machines, and the cloud has no
 		// others: it is lent what is idle elsewhere. Found by random days: the team's jobs
 		// waited for ever.
-		{"limit-without-machines", func(cluster *Cluster, machines []*Machine) []string {
+		{"team-limit-without-machines", func(cluster *Cluster, machines []*Machine) []string {
 			blue := ofTeam("blue")
 			cluster.Submit(7, NewSubmission("wk-4", protocol.ShapeArray, 2, 1, 3, blue))
 			cluster.At(9.5, func() { cluster.killMachinesOf(cluster.ownerOf(cluster.machinesWith("wk-4")[0]), machines) })
@@ -78,7 +78,7 @@
 		// Two machines open no connection to any controller for longer than two leases;
 		// orders reach them. What is there is lost with its lease, and begins elsewhere;
 		// nothing more is sent there until they report again.
-		{"mute-machines", func(cluster *Cluster, machines []*Machine) []string {
+		{"outbound-partitioned-machines", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.partitionOutbound(11, 45, machines[2], machines[3])
 			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 4, 1, 9))
 			cluster.Submit(20, NewSubmission("wk-5", protocol.ShapeArray, 24, 1, 9))
@@ -101,7 +101,7 @@
 		}},
 		// A zone with a controller and half of the machines is cut off for three leases;
 		// jobs are cancelled and submitted outside.
-		{"zone-cut-with-its-controller", func(cluster *Cluster, _ []*Machine) []string {
+		{"zone-partitioned-with-its-controller", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(11, func() { cluster.At(53, cluster.PartitionZone("b")) })
 			cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 60))
 			cluster.Submit(20, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6))
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -41,12 +41,12 @@
 			cluster.At(15.02, func() { cluster.State.StartOutage(6 * time.Second) }) // they have their grants, not their parts
 			return submitBurst(cluster, 14, 3, 4, 5)
 		}},
-		{"zone-cut-and-frozen-owner", func(cluster *Cluster, _ []*Machine) []string {
+		{"zone-partitioned-and-paused-owner", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() { cluster.At(40, cluster.PartitionZone("b")) })
 			cluster.At(14, func() { cluster.Controllers["n0"].Pause(9*time.Second, true) })
 			return submitBurst(cluster, 16, 2, 4, 5)
 		}},
-		{"frozen-in-a-roll", func(cluster *Cluster, _ []*Machine) []string {
+		{"paused-in-a-rolling-restart", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.crashFor(10, 13, "n0")
 			cluster.At(14, func() { cluster.Controllers["n1"].Pause(10*time.Second, false) })
 			cluster.crashFor(20, 23, "n2")
@@ -63,7 +63,7 @@
 			})
 			return submitBurst(cluster, 12, 2, 4, 5)
 		}},
-		{"deaf-owner-and-peers-refused", func(cluster *Cluster, machines []*Machine) []string {
+		{"owner-partitioned-from-machines-and-peers", func(cluster *Cluster, machines []*Machine) []string {
 			pairs := []link{{"n0", "n2"}}
 			for _, machine := range machines {
 				pairs = append(pairs, link{machine.Address(), "n1"}, link{machine.Address(), "api-n1"})
@@ -71,12 +71,12 @@
 			cluster.cutLinksFor(12, 45, pairs)
 			return submitBurst(cluster, 14, 2, 4, 5)
 		}},
-		{"refused-alone-and-burst", func(cluster *Cluster, _ []*Machine) []string {
+		{"controller-refused-and-burst", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(11, func() { cluster.SetRefusal("n2", "state", true) })
 			cluster.At(40, func() { cluster.SetRefusal("n2", "state", false) })
 			return submitBurst(cluster, 12, 6, 5, 5)
 		}},
-		{"all-frozen-and-machines-die", func(cluster *Cluster, machines []*Machine) []string {
+		{"all-paused-and-machines-die", func(cluster *Cluster, machines []*Machine) []string {
 			for _, name := range cluster.controllerNames {
 				cluster.At(12, func() { cluster.Controllers[name].Pause(8*time.Second, name == "n0") })
 			}
@@ -101,7 +101,7 @@
 	runScenarios(t, "combined-", 756, 260, 70, nil, []scenario{
 		// Launches and halts reach their machine 5 s late, one of them after the session
 		// that they are for; answers of others are lost though they were carried out.
-		{"orders-held-up", func(cluster *Cluster, machines []*Machine) []string {
+		{"commands-delayed", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
 			cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, "/orders")
 			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10))
@@ -111,7 +111,7 @@
 		}, nil},
 		// A is refused until B has its part, B ends, A takes it back, all within seconds;
 		// then all end and one returns before the others.
-		{"there-and-back", func(cluster *Cluster, _ []*Machine) []string {
+		{"shard-there-and-back", func(cluster *Cluster, _ []*Machine) []string {
 			a := cluster.controllerNames[1]
 			cluster.At(9, func() { cluster.SetRefusal(a, "state", true) })
 			cluster.At(14.6, func() { cluster.SetRefusal(a, "state", false) })
@@ -208,7 +208,7 @@
 		}},
 		// Tasks that end 4, 16 and 28 s after their start, over two changes of leader, an
 		// array, a gang and single tasks of a rush.
-		{"ends-far-apart", func(cluster *Cluster, _ []*Machine) []string {
+		{"task-ends-far-apart", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.RuntimeSpread = map[string]float64{"apart": 3}
 			apart := ofClass("apart")
 			cluster.placeSingleTasksAnywhere()
@@ -242,7 +242,7 @@
 		// All orders arrive again, up to 12 s after they were carried out, while work of a
 		// lower rank is stopped for two gangs and begins elsewhere. Found by this day: a
 		// copy of a launch started a task again that had been stopped and reaped.
-		{"orders-repeated", func(cluster *Cluster, _ []*Machine) []string {
+		{"commands-duplicated", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.duplicateOrdersFor(4, 40, 1, 0.2, 12)
 			low := bestEffort(4, 1)
 			high := withPriority("high")
--- a/internal/simulator/partition_scenarios_test.go
+++ b/internal/simulator/partition_scenarios_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestPartitionsCopiesAndRestarts(t *testing.T) {
-	runScenarios(t, "addition-", 200, 330, 52, (*Cluster).useLongLeases, []scenario{
-		{"deaf-for-ever", func(cluster *Cluster, machines []*Machine) []string {
+	runScenarios(t, "partitions-", 200, 330, 52, (*Cluster).useLongLeases, []scenario{
+		{"unreachable-for-ever", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.At(10, func() { cluster.SetInboundPartition(machines[0].Address(), true) })
 			cluster.At(110, func() { cluster.Trace("at 110 the deaf one is gone: %v", machines[0].deleted) })
 			return submitBurst(cluster, 14, 8, 6, 4)
@@ -21,14 +21,14 @@
 				t.Error("the deaf machine was not returned")
 			}
 		}},
-		{"deaf-from-its-first-report", func(cluster *Cluster, _ []*Machine) []string {
+		{"unreachable-from-its-first-report", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(9, func() {
 				cluster.SetInboundPartition(cluster.address("w-i-007"), true)
 				cluster.AddMachine("small", "a", false)
 			})
 			return submitBurst(cluster, 12, 4, 6, 4)
 		}, nil},
-		{"deaf-for-a-moment", func(cluster *Cluster, machines []*Machine) []string {
+		{"unreachable-for-a-moment", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.partitionInboundFor(12, 17, machines[0])
 			return submitBurst(cluster, 14, 4, 6, 4)
 		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
@@ -36,11 +36,11 @@
 				t.Error("a machine lost its lease")
 			}
 		}},
-		{"deaf-for-nearly-a-lease", func(cluster *Cluster, machines []*Machine) []string {
+		{"unreachable-for-nearly-a-lease", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.partitionInboundFor(12, 23, machines[0])
 			return submitBurst(cluster, 14, 4, 6, 4)
 		}, nil},
-		{"deaf-and-its-owner-lost", func(cluster *Cluster, _ []*Machine) []string {
+		{"unreachable-and-its-owner-lost", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				machine := cluster.machinesWith("wk-1")[0]
 				cluster.SetInboundPartition(machine.Address(), true)
@@ -52,7 +52,7 @@
 		// Before: wk-4 waited for 190 s. No answer under the new owner's token ever came,
 		// leases that reports seemed to renew did not end, and the part went from owner
 		// to owner, as its machines seemed to reach each of the others.
-		{"several-deaf-for-ever-and-their-owner-lost", func(cluster *Cluster, machines []*Machine) []string {
+		{"several-unreachable-for-ever-and-their-owner-lost", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.At(12, func() {
 				process := cluster.ownerOf(cluster.machinesWith("wk-1")[0])
 				for _, machine := range machines {
@@ -70,7 +70,7 @@
 				t.Error("wk-4 waited for deaf machines")
 			}
 		}},
-		{"deaf-with-a-cancelled-job", func(cluster *Cluster, _ []*Machine) []string {
+		{"unreachable-with-a-cancelled-job", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				for _, machine := range cluster.machinesWith("wk-3") {
 					cluster.SetInboundPartition(machine.Address(), true)
@@ -78,12 +78,12 @@
 			})
 			return submitBurst(cluster, 14, 2, 4, 4)
 		}, nil},
-		{"deaf-with-half-a-gang", func(cluster *Cluster, machines []*Machine) []string {
+		{"unreachable-with-half-a-gang", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 4, 2, 8))
 			cluster.At(8.05, func() { cluster.SetInboundPartition(machines[1].Address(), true) })
 			return append(submitBurst(cluster, 14, 2, 4, 4), "wk-4")
 		}, nil},
-		{"a-third-is-deaf", func(cluster *Cluster, machines []*Machine) []string {
+		{"a-third-is-unreachable", func(cluster *Cluster, machines []*Machine) []string {
 			for _, machine := range machines[:2] {
 				cluster.partitionInboundFor(12, 40, machine)
 			}
@@ -125,7 +125,7 @@
 				t.Error("a machine that came back was given up")
 			}
 		}},
-		{"isolated-leader-and-a-frozen-one", func(cluster *Cluster, _ []*Machine) []string {
+		{"isolated-leader-and-a-paused-one", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(12, func() {
 				cluster.At(40, cluster.IsolateController(cluster.leaderProcess().name))
 				cluster.nonLeaderOwner().Pause(9*time.Second, true)
--- a/internal/simulator/placement_test.go
+++ b/internal/simulator/placement_test.go
@@ -8,7 +8,7 @@
 
 // All shapes on a quiet day; machines are rented for what finds no room.
 func TestFaultFreeOperation(t *testing.T) {
-	cluster := playTraced(t, "normal", 1, 120, func(cluster *Cluster) {
+	cluster := playTraced(t, "fault-free", 1, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 1)
 		cluster.Cloud.Capacity[Offer{"small", "a", true}] = 3
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 10))
@@ -54,7 +54,7 @@
 // free soon, so nothing was stopped until the array was late, and then one task at a
 // time.
 func TestPreemptionForArrayDeadline(t *testing.T) {
-	cluster := playTraced(t, "room-for-an-array", 18, 120, func(cluster *Cluster) {
+	cluster := playTraced(t, "preemption-for-array-deadline", 18, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 300, bestEffort(10, 1)))
 		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 36, 1, 12, withDeadline(60)))
@@ -70,7 +70,7 @@
 // A team gets its guarantee though another's work of higher rank fills all
 // machines; its limit of GPUs holds for all its jobs together.
 func TestQuotaGuaranteeAndGPULimit(t *testing.T) {
-	cluster := playTraced(t, "guarantee", 17, 120, func(cluster *Cluster) {
+	cluster := playTraced(t, "quota-guarantee", 17, 120, func(cluster *Cluster) {
 		cluster.AddMachine("big", "a", false)
 		green := func(submission *protocol.Submission) {
 			submission.Team, submission.GPUs = new("green"), new(2.0)
--- a/internal/simulator/state_outage_test.go
+++ b/internal/simulator/state_outage_test.go
@@ -28,7 +28,7 @@
 // All controllers end just after an outage of the state service began, with a
 // gang in its start and an abort on its way.
 func TestControllersCrashDuringStateOutage(t *testing.T) {
-	cluster := playTraced(t, "crash-in-outage", 26, 120, func(cluster *Cluster) {
+	cluster := playTraced(t, "all-crash-in-outage", 26, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 12, 1, 40))
 		cluster.Submit(11.8, NewSubmission("wk-2", protocol.ShapeGang, 2, 3, 10))
