--- a/internal/simulator/controller_failure_test.go
+++ b/internal/simulator/controller_failure_test.go
@@ -30,7 +30,7 @@
 		cluster.At(12, func() { cluster.Controllers["n0"].Crash() })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
-	if strings.Contains(cluster.TraceText(), "lease over") {
+	if strings.Contains(cluster.TraceText(), "lease expired") {
 		t.Error("workers lost their leases")
 	}
 }
@@ -123,7 +123,7 @@
 		cluster.At(52, func() { cluster.SetRefusal("n1", "state", false) })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
-	if strings.Contains(cluster.TraceText(), "lease over") {
+	if strings.Contains(cluster.TraceText(), "lease expired") {
 		t.Error("workers lost their leases")
 	}
 }
@@ -142,7 +142,7 @@
 		cluster.cutLinksFor(14, 60, pairs)
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
-	if strings.Contains(cluster.TraceText(), "lease over") {
+	if strings.Contains(cluster.TraceText(), "lease expired") {
 		t.Error("workers lost their leases")
 	}
 	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 36 {
--- a/internal/simulator/controller_pause_test.go
+++ b/internal/simulator/controller_pause_test.go
@@ -36,7 +36,7 @@
 			cluster.At(12, func() { who(cluster).Pause(25*time.Second, true) })
 		})
 		expectStatus(t, cluster, protocol.JobDone, "wk-1")
-		if strings.Contains(cluster.TraceText(), "lease over") {
+		if strings.Contains(cluster.TraceText(), "lease expired") {
 			t.Errorf("%s: workers lost their leases", name)
 		}
 		if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
@@ -72,7 +72,7 @@
 		}
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-7")
-	if strings.Contains(cluster.TraceText(), "lease over") {
+	if strings.Contains(cluster.TraceText(), "lease expired") {
 		t.Error("workers lost their leases")
 	}
 }
--- a/internal/simulator/controller_process.go
+++ b/internal/simulator/controller_process.go
@@ -68,7 +68,7 @@
 	if p.paused || !p.running {
 		return
 	}
-	p.cluster.Trace("%s stands still", p.cluster.address(p.name))
+	p.cluster.Trace("%s is paused", p.cluster.address(p.name))
 	p.paused = true
 	p.holdsOutgoing = holdsOutgoing
 	incarnation := p.incarnation
@@ -81,7 +81,7 @@
 
 // resume runs what was deferred in a pause, in random order.
 func (p *ControllerProcess) resume() {
-	p.cluster.Trace("%s goes on", p.cluster.address(p.name))
+	p.cluster.Trace("%s resumes", p.cluster.address(p.name))
 	p.paused = false
 	deferred := p.deferred
 	p.deferred = nil
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -73,7 +73,7 @@
 func (c *Cluster) partitionOutbound(from, to float64, machines ...*Machine) {
 	c.At(from, func() {
 		for _, machine := range machines {
-			c.Trace("%s reaches nobody", machine.id)
+			c.Trace("%s is partitioned outbound", machine.id)
 		}
 	})
 	c.DelayedRequests = append(c.DelayedRequests, func(by, path string, _ []byte) (time.Duration, bool) {
--- a/internal/simulator/federation_failure_test.go
+++ b/internal/simulator/federation_failure_test.go
@@ -20,7 +20,7 @@
 		west.At(19, east.Start)
 	})
 	expectFinished(t, west, east, protocol.JobDone, ids...)
-	if strings.Contains(west.TraceText(), "lease over") {
+	if strings.Contains(west.TraceText(), "lease expired") {
 		t.Error("machines lost their leases")
 	}
 }
--- a/internal/simulator/federation_test.go
+++ b/internal/simulator/federation_test.go
@@ -86,7 +86,7 @@
 			for _, id := range east.machineIDs() {
 				east.Machines[id].Hung = false
 			}
-			east.Trace("they go on")
+			east.Trace("they resume")
 		})
 		b = a[1:3]
 	})
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -115,7 +115,7 @@
 	if m.deleted {
 		return
 	}
-	m.cluster.Trace("%s ends and will be back", m.id)
+	m.cluster.Trace("%s reboots", m.id)
 	m.observeLoss(observedMachineGone)
 	m.incarnation++
 	m.running = false
@@ -146,7 +146,7 @@
 		if m.deleted {
 			return
 		}
-		m.cluster.Trace("%s is taken", m.id)
+		m.cluster.Trace("%s is evicted", m.id)
 		m.remove()
 	})
 }
@@ -167,7 +167,7 @@
 // loseLease kills all tasks and begins a new session.
 func (m *Machine) loseLease() {
 	if len(m.attempts) > 0 {
-		m.cluster.Trace("%s lease over, kills %d", m.id, len(m.attempts))
+		m.cluster.Trace("%s lease expired, kills %d", m.id, len(m.attempts))
 	}
 	m.observeLoss(observedKilled)
 	m.attempts = nil
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -35,7 +35,7 @@
 // SetInboundPartition lets nothing reach a host, while what it sends arrives, or ends
 // that.
 func (n *Network) SetInboundPartition(address string, partitioned bool) {
-	n.Trace("%s hears: %v", address, !partitioned)
+	n.Trace("inbound partition of %s: %v", address, partitioned)
 	n.inboundPartitioned[address] = partitioned
 }
 
@@ -58,7 +58,7 @@
 	c.Trace("%s is isolated", name)
 	c.cutLinks(links)
 	return func() {
-		c.Trace("%s is isolated no more", name)
+		c.Trace("%s is no longer isolated", name)
 		c.healLinks(links)
 	}
 }
--- a/internal/simulator/partition_scenarios_test.go
+++ b/internal/simulator/partition_scenarios_test.go
@@ -14,10 +14,10 @@
 	runScenarios(t, "partitions-", 200, 330, 52, (*Cluster).useLongLeases, []scenario{
 		{"unreachable-for-ever", func(cluster *Cluster, machines []*Machine) []string {
 			cluster.At(10, func() { cluster.SetInboundPartition(machines[0].Address(), true) })
-			cluster.At(110, func() { cluster.Trace("at 110 the deaf one is gone: %v", machines[0].deleted) })
+			cluster.At(110, func() { cluster.Trace("at 110 the unreachable machine is deleted: %v", machines[0].deleted) })
 			return submitBurst(cluster, 14, 8, 6, 4)
 		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
-			if !strings.Contains(cluster.TraceText(), "at 110 the deaf one is gone: true") {
+			if !strings.Contains(cluster.TraceText(), "at 110 the unreachable machine is deleted: true") {
 				t.Error("the deaf machine was not returned")
 			}
 		}},
@@ -32,7 +32,7 @@
 			cluster.partitionInboundFor(12, 17, machines[0])
 			return submitBurst(cluster, 14, 4, 6, 4)
 		}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
-			if strings.Contains(cluster.TraceText(), "lease over, kills") {
+			if strings.Contains(cluster.TraceText(), "lease expired, kills") {
 				t.Error("a machine lost its lease")
 			}
 		}},
--- a/internal/simulator/state_outage_test.go
+++ b/internal/simulator/state_outage_test.go
@@ -20,7 +20,7 @@
 	})
 	expectStatus(t, cluster, protocol.JobCancelled, "wk-1")
 	expectStatus(t, cluster, protocol.JobDone, "wk-2")
-	if strings.Contains(cluster.TraceText(), "lease over") {
+	if strings.Contains(cluster.TraceText(), "lease expired") {
 		t.Error("an ordinary outage cost workers their leases")
 	}
 }
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -26,7 +26,7 @@
 		cluster.cutLinksFor(20, 50, pairs)
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
-	if strings.Contains(cluster.TraceText(), "lease over") {
+	if strings.Contains(cluster.TraceText(), "lease expired") {
 		t.Error("workers of the zone that was cut off lost their leases")
 	}
 	if n := strings.Count(cluster.TraceText(), "starts wk-1/"); n != 24 {
