--- a/internal/simulator/delayed_writes_test.go
+++ b/internal/simulator/delayed_writes_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
@@ -57,7 +58,7 @@
 				for _, kind := range []int{i, k} {
 					if writes[kind].is(x.Mutations) && cluster.random.IntN(2) == 0 {
 						seen[writes[kind].name]++
-						return time.Duration((2 + 10*cluster.random.Float64()) * float64(time.Second)), true
+						return env.Seconds(2 + 10*cluster.random.Float64()), true
 					}
 				}
 				return 0, false
--- a/internal/simulator/election_test.go
+++ b/internal/simulator/election_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -57,12 +58,12 @@
 		for k, length := range []float64{3, 20, 60} {
 			cluster := NewCluster(uint64(1360 + 10*i + k))
 			cluster.ServeAPI()
-			cluster.histories.FaultsOver = time.Duration((11 + length) * float64(time.Second))
+			cluster.histories.FaultsOver = env.Seconds(11 + length)
 			cluster.monitorWaitingJobs()
 			submitStandardLoad(cluster)
 			ids := append(submitBurst(cluster, 14, 4, 6, 4), "wk-1", "wk-2", "wk-5")
 			cluster.At(11, func() {
-				cluster.after(time.Duration(length*float64(time.Second)), cluster.IsolateController(who(cluster)[0]))
+				cluster.after(env.Seconds(length), cluster.IsolateController(who(cluster)[0]))
 			})
 			cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 90))
 			cluster.Submit(16, NewSubmission("wk-5", protocol.ShapeGang, 2, 3, 6))
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"curlewspool/internal/election"
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
 	"curlewspool/internal/shard"
@@ -47,7 +48,7 @@
 	c.At(at, func() {
 		if process := who(); process.running {
 			process.Crash()
-			c.after(time.Duration(after*float64(time.Second)), process.Start)
+			c.after(env.Seconds(after), process.Start)
 		}
 	})
 }
@@ -85,11 +86,11 @@
 // addLinkLatency has messages from and to machines take up to so many seconds each way.
 func (c *Cluster) addLinkLatency(from, to, most float64) {
 	c.At(from, func() {
-		c.ExtraLatency = func(a, violation string) time.Duration {
-			if !strings.Contains(a+violation, "w-i-") {
+		c.ExtraLatency = func(a, b string) time.Duration {
+			if !strings.Contains(a+b, "w-i-") {
 				return 0
 			}
-			return time.Duration(most * c.random.Float64() * float64(time.Second))
+			return env.Seconds(most * c.random.Float64())
 		}
 	})
 	c.At(to, func() { c.ExtraLatency = nil })
@@ -103,7 +104,7 @@
 		if now < from || now >= to || !slices.Contains(paths, path) || c.random.Float64() >= share {
 			return 0, false
 		}
-		return time.Duration((least + (most-least)*c.random.Float64()) * float64(time.Second)), true
+		return env.Seconds(least + (most-least)*c.random.Float64()), true
 	})
 }
 
@@ -115,7 +116,7 @@
 			if !strings.HasPrefix(p, path) {
 				return 0
 			}
-			return time.Duration((0.2 + (most-0.2)*random.Float64()) * float64(time.Second))
+			return env.Seconds(0.2 + (most-0.2)*random.Float64())
 		}
 	})
 	c.At(to, func() { c.State.ResponseDelay = nil })
@@ -131,7 +132,7 @@
 			return 0, false
 		}
 		*met++
-		return time.Duration((least + (most-least)*c.random.Float64()) * float64(time.Second)), true
+		return env.Seconds(least + (most-least)*c.random.Float64()), true
 	})
 	return met
 }
@@ -142,7 +143,7 @@
 		i := 0
 		c.DuplicateReports = func() []time.Duration {
 			i++
-			return []time.Duration{time.Duration(late[i%len(late)] * float64(time.Second))}
+			return []time.Duration{env.Seconds(late[i%len(late)])}
 		}
 	})
 	c.At(to, func() { c.DuplicateReports = nil })
@@ -156,7 +157,7 @@
 			if !strings.Contains(to, "w-i-") || c.random.Float64() >= share {
 				return 0
 			}
-			return time.Duration((least + (most-least)*c.random.Float64()) * float64(time.Second))
+			return env.Seconds(least + (most-least)*c.random.Float64())
 		}
 	})
 	c.At(to, func() { c.DuplicateRequest = nil })
--- a/internal/simulator/job_completion_requests_test.go
+++ b/internal/simulator/job_completion_requests_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -35,7 +36,7 @@
 				if slow > 0 {
 					cluster.At(7, func() {
 						cluster.State.ResponseDelay = func(string) time.Duration {
-							return time.Duration(slow * cluster.random.Float64() * float64(time.Second))
+							return env.Seconds(slow * cluster.random.Float64())
 						}
 					})
 				}
--- a/internal/simulator/late_commands_test.go
+++ b/internal/simulator/late_commands_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -52,7 +53,7 @@
 						if ok {
 							held++
 						}
-						return time.Duration(late * (0.8 + 0.2*cluster.random.Float64()) * float64(time.Second)), ok
+						return env.Seconds(late * (0.8 + 0.2*cluster.random.Float64())), ok
 					})
 					cluster.At(at, func() { ends[how](cluster, name) })
 					for i, machine := range machines {
--- a/internal/simulator/late_reports_test.go
+++ b/internal/simulator/late_reports_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"testing"
-	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -38,7 +38,7 @@
 				cluster.cutLinksFor(11.5, 28, cluster.machineLinks(machines[0])) // its session ends meanwhile
 				kept := cluster.keepReports(5, 16, heldBack)
 				cluster.onLeaderChange(16, func() {
-					cluster.after(time.Duration(after*float64(time.Second)), func() {
+					cluster.after(env.Seconds(after), func() {
 						for _, name := range cluster.runningControllers() {
 							if whom != "all" && whom != name {
 								continue
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -157,7 +158,7 @@
 		{"slow-then-refused", func(cluster *Cluster, _ []*Machine) []string {
 			cluster.At(8, func() {
 				cluster.State.ResponseDelay = func(string) time.Duration {
-					return time.Duration(1.8 * cluster.random.Float64() * float64(time.Second))
+					return env.Seconds(1.8 * cluster.random.Float64())
 				}
 			})
 			cluster.At(20, func() { cluster.State.ResponseDelay = nil })
--- a/internal/simulator/random_combined_faults_test.go
+++ b/internal/simulator/random_combined_faults_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -72,7 +73,7 @@
 			for _, name := range cluster.runningControllers() {
 				for _, body := range *kept {
 					if random.IntN(3) == 0 {
-						cluster.after(time.Duration(length*random.Float64()*random.Float64()*float64(time.Second)), func() {
+						cluster.after(env.Seconds(length*random.Float64()*random.Float64()), func() {
 							cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {})
 						})
 					}
@@ -96,7 +97,7 @@
 		cluster.At(at-1, func() {
 			name, late := cluster.controllerNames[random.IntN(3)], 16*random.Float64()
 			cluster.DelayedRequests = append(cluster.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
-				return time.Duration(late * (0.5 + 0.5*cluster.random.Float64()) * float64(time.Second)), path == "/orders" && from == name && cluster.now.Seconds() < at+1
+				return env.Seconds(late * (0.5 + 0.5*cluster.random.Float64())), path == "/orders" && from == name && cluster.now.Seconds() < at+1
 			})
 			cluster.restartQuickly(at, 0.2+2*length*random.Float64(), func() *ControllerProcess { return cluster.Controllers[name] })
 			for _, machine := range machines {
@@ -116,7 +117,7 @@
 				for _, machine := range cluster.machinesWith(id) {
 					if random.IntN(2) == 0 {
 						machine.Hung = true
-						cluster.after(time.Duration(lease*(0.3+random.Float64())*float64(time.Second)), func() { machine.Hung = false })
+						cluster.after(env.Seconds(lease*(0.3+random.Float64())), func() { machine.Hung = false })
 					}
 				}
 				if random.IntN(2) == 0 && cluster.reportedStatus[id] != "" {
@@ -135,7 +136,7 @@
 				}
 				for range 3 {
 					what := []userAction{pollAgain, submitAgain, cancelAgain}[random.IntN(3)]
-					cluster.after(time.Duration(0.4*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, cluster.submissions[id]) })
+					cluster.after(env.Seconds(0.4*random.Float64()*random.Float64()), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, cluster.submissions[id]) })
 				}
 			}
 		})
--- a/internal/simulator/random_delayed_message_faults_test.go
+++ b/internal/simulator/random_delayed_message_faults_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -32,7 +33,7 @@
 				if random.IntN(3) > 0 {
 					return 0
 				}
-				return time.Duration(2.5 * random.Float64() * float64(time.Second))
+				return env.Seconds(2.5 * random.Float64())
 			}
 		})
 		cluster.At(at+length, func() { cluster.State.ResponseDelay = nil })
@@ -41,11 +42,11 @@
 		cluster.At(at, func() { // its owner is refused until another has taken it, who then ends
 			process := cluster.nonLeaderOwner()
 			cluster.SetRefusal(process.name, "state", true)
-			cluster.after(time.Duration((4+4*random.Float64())*float64(time.Second)), func() {
+			cluster.after(env.Seconds(4+4*random.Float64()), func() {
 				cluster.SetRefusal(process.name, "state", false)
 				if taker := cluster.nonLeaderOwner(); taker.running && taker != process {
 					taker.Crash()
-					cluster.after(time.Duration((0.05+length*random.Float64())*float64(time.Second)), taker.Start)
+					cluster.after(env.Seconds(0.05+length*random.Float64()), taker.Start)
 				}
 			})
 		})
@@ -73,7 +74,7 @@
 			process := cluster.leaderProcess()
 			if process.running {
 				process.Crash()
-				cluster.after(time.Duration((0.1+2*length*random.Float64())*float64(time.Second)), process.Start)
+				cluster.after(env.Seconds(0.1+2*length*random.Float64()), process.Start)
 			}
 		})
 	}},
@@ -89,7 +90,7 @@
 	}},
 	{"the leader is cut off with its workers, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
-			cluster.after(time.Duration(3*length*float64(time.Second)), cluster.IsolateController(cluster.leaderProcess().name))
+			cluster.after(env.Seconds(3*length), cluster.IsolateController(cluster.leaderProcess().name))
 		})
 		for i := range 3 {
 			cluster.Cancel(at+3*length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
--- a/internal/simulator/random_single_faults_test.go
+++ b/internal/simulator/random_single_faults_test.go
@@ -4,6 +4,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"curlewspool/internal/env"
 )
 
 // fault is something that begins at a time and is over by itself; times in seconds.
@@ -30,16 +32,16 @@
 	}},
 	{"a controller stands still", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		name, holds := cluster.controllerNames[random.IntN(3)], random.IntN(2) == 0
-		cluster.At(at, func() { cluster.Controllers[name].Pause(time.Duration(length*float64(time.Second)), holds) })
+		cluster.At(at, func() { cluster.Controllers[name].Pause(env.Seconds(length), holds) })
 	}},
 	{"all controllers stand still", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		for _, name := range cluster.controllerNames {
 			holds := random.IntN(2) == 0
-			cluster.At(at+random.Float64(), func() { cluster.Controllers[name].Pause(time.Duration(length*float64(time.Second)), holds) })
+			cluster.At(at+random.Float64(), func() { cluster.Controllers[name].Pause(env.Seconds(length), holds) })
 		}
 	}},
 	{"the state service is down", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.At(at, func() { cluster.State.StartOutage(time.Duration(length * float64(time.Second))) })
+		cluster.At(at, func() { cluster.State.StartOutage(env.Seconds(length)) })
 	}},
 	{"the state service refuses one controller", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		name := cluster.controllerNames[random.IntN(3)]
@@ -93,7 +95,7 @@
 	{"the spot machines are taken", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		for _, machine := range machines {
 			if machine.spot && random.IntN(2) == 0 {
-				cluster.At(at+random.Float64(), func() { machine.AnnounceEviction(time.Duration(length / 2 * float64(time.Second))) })
+				cluster.At(at+random.Float64(), func() { machine.AnnounceEviction(env.Seconds(length / 2)) })
 			} else if machine.spot {
 				cluster.At(at+random.Float64(), machine.Die)
 			}
@@ -120,7 +122,7 @@
 		cluster.At(at, func() {
 			cluster.DuplicateReports = func() (late []time.Duration) {
 				if random.IntN(3) == 0 {
-					late = append(late, time.Duration((0.1+2*lease*random.Float64())*float64(time.Second)))
+					late = append(late, env.Seconds(0.1+2*lease*random.Float64()))
 				}
 				return late
 			}
--- a/internal/simulator/random_stale_answer_faults_test.go
+++ b/internal/simulator/random_stale_answer_faults_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math/rand/v2"
 	"time"
+
+	"curlewspool/internal/env"
 )
 
 // staleAnswers are the same for random days; see delayedMessages.
@@ -25,7 +27,7 @@
 				}
 				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate)
 				for k, what := range []userAction{[]userAction{cancelAgain, submitAgain, pollAgain}[random.IntN(3)], pollAgain, submitAgain, pollAgain} {
-					cluster.after(time.Duration(float64(k)*0.3*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
+					cluster.after(env.Seconds(float64(k)*0.3*random.Float64()), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
 				}
 			})
 		}
@@ -35,7 +37,7 @@
 		submitArrays(cluster, "wk-m", at-2, 4+random.IntN(4), 2+random.IntN(3), 3+12*random.Float64())
 		cluster.onChunkMove(at-2, func(id string) {
 			if random.IntN(2) == 0 {
-				cluster.after(time.Duration(random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.requestCancellation(id) })
+				cluster.after(env.Seconds(random.Float64()*random.Float64()), func() { cluster.requestCancellation(id) })
 			}
 		})
 	}},
--- a/internal/simulator/random_unreachable_machine_faults_test.go
+++ b/internal/simulator/random_unreachable_machine_faults_test.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -17,17 +17,17 @@
 				for _, machine := range cluster.machinesWith(fmt.Sprintf("wk-%d", i+1)) {
 					if random.IntN(2) == 0 {
 						machine.Hung = true
-						cluster.after(time.Duration((1+length)*random.Float64()*float64(time.Second)), func() { machine.Hung = false })
+						cluster.after(env.Seconds((1+length)*random.Float64()), func() { machine.Hung = false })
 					}
 				}
 				cluster.requestCancellation(fmt.Sprintf("wk-%d", i+1))
 			}
 			name := cluster.leaderProcess().name
-			cluster.after(time.Duration(0.3*random.Float64()*float64(time.Second)), func() { cluster.SetRefusal(name, "state", true) })
-			cluster.after(time.Duration((0.5+length)*float64(time.Second)), func() { cluster.SetRefusal(name, "state", false) })
+			cluster.after(env.Seconds(0.3*random.Float64()), func() { cluster.SetRefusal(name, "state", true) })
+			cluster.after(env.Seconds(0.5+length), func() { cluster.SetRefusal(name, "state", false) })
 		})
 		cluster.At(at+0.4+random.Float64(), func() {
-			cluster.State.StartOutage(time.Duration((0.6 + 0.6*random.Float64()) * cluster.Settings.Deployment.Workers.Cancel * float64(time.Second)))
+			cluster.State.StartOutage(env.Seconds((0.6 + 0.6*random.Float64()) * cluster.Settings.Deployment.Workers.Cancel))
 		})
 	}},
 	{"machines reach nobody", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
@@ -63,7 +63,7 @@
 			cluster.restartQuickly(at+0.3*length*float64(i), 0.05+length*random.Float64()*random.Float64(), cluster.leaderProcess)
 		}
 		cluster.At(at+length, func() {
-			cluster.State.StartOutage(time.Duration(1.5 * length * random.Float64() * float64(time.Second)))
+			cluster.State.StartOutage(env.Seconds(1.5 * length * random.Float64()))
 		})
 		cluster.cutLinksFor(at, at+4*length, cluster.machineLinks(machines[random.IntN(len(machines))]))
 	}},
@@ -100,7 +100,7 @@
 				submission := NewSubmission(id, job.Shape, job.Tasks, job.Cores, job.Estimate)
 				for range 4 {
 					what := []userAction{pollAgain, submitAgain, cancelAgain}[random.IntN(3)]
-					cluster.after(time.Duration(0.6*random.Float64()*random.Float64()*float64(time.Second)), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
+					cluster.after(env.Seconds(0.6*random.Float64()*random.Float64()), func() { cluster.repeatRequest(cluster.controllerNames[random.IntN(3)], what, submission) })
 				}
 			}
 		})
--- a/internal/simulator/random_vouched_outage_test.go
+++ b/internal/simulator/random_vouched_outage_test.go
@@ -3,14 +3,15 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"time"
+
+	"curlewspool/internal/env"
 )
 
 // randomVouchedOutage is what each of those days has.
 func (c *Cluster) randomVouchedOutage(random *rand.Rand, machines []*Machine, at float64) string {
 	cancel := c.Settings.Deployment.Workers.Cancel
 	lasts := (0.4 + random.Float64()) * cancel
-	c.At(at, func() { c.State.StartOutage(time.Duration(lasts * float64(time.Second))) })
+	c.At(at, func() { c.State.StartOutage(env.Seconds(lasts)) })
 	alone := c.controllerNames[random.IntN(3)]
 	from := at - 12*random.Float64()
 	if random.IntN(2) == 0 {
@@ -18,7 +19,7 @@
 		c.At(from+14*random.Float64(), func() { c.SetRefusal(alone, "state", false) })
 	}
 	if random.IntN(2) == 0 {
-		c.At(at-3*random.Float64(), func() { c.after(time.Duration(lasts/2*float64(time.Second)), c.IsolateController(alone)) })
+		c.At(at-3*random.Float64(), func() { c.after(env.Seconds(lasts/2), c.IsolateController(alone)) })
 	}
 	if random.IntN(2) == 0 {
 		machine := machines[random.IntN(len(machines))]
@@ -30,6 +31,6 @@
 	for i := range 5 {
 		c.Cancel(at-6+8*random.Float64(), fmt.Sprintf("wk-%d", i+1))
 	}
-	c.histories.FaultsOver = max(c.histories.FaultsOver, time.Duration((at+2*lasts+20)*float64(time.Second)))
+	c.histories.FaultsOver = max(c.histories.FaultsOver, env.Seconds(at+2*lasts+20))
 	return fmt.Sprintf("%.1f an outage (%.1f)", at, lasts)
 }
--- a/internal/simulator/refusal_then_outage_test.go
+++ b/internal/simulator/refusal_then_outage_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
 )
@@ -80,7 +81,7 @@
 	if fault.answers > 0 {
 		c.At(at-5, func() {
 			c.State.ResponseDelay = func(string) time.Duration {
-				return time.Duration(c.random.Float64() * fault.answers * float64(time.Second))
+				return env.Seconds(c.random.Float64() * fault.answers)
 			}
 		})
 	}
@@ -88,7 +89,7 @@
 		c.State.ResponseDelay = nil
 		if !down {
 			down = true
-			c.State.StartOutage(time.Duration(lasts * float64(time.Second)))
+			c.State.StartOutage(env.Seconds(lasts))
 		}
 	}
 	if fault.held > 0 {
@@ -98,9 +99,9 @@
 		refused := fault.refused(c)
 		for _, name := range refused {
 			c.SetRefusal(name, "state", true)
-			c.after(time.Duration(fault.length*float64(time.Second)), func() { c.SetRefusal(name, "state", false) })
+			c.after(env.Seconds(fault.length), func() { c.SetRefusal(name, "state", false) })
 			if fault.back {
-				c.after(time.Duration(fault.length/2*float64(time.Second)), func() {
+				c.after(env.Seconds(fault.length/2), func() {
 					c.Controllers[name].Crash()
 					c.after(300*time.Millisecond, c.Controllers[name].Start)
 				})
@@ -114,11 +115,11 @@
 				}
 			}
 		}
-		to := c.now + time.Duration((fault.length+fault.slow)*float64(time.Second))
+		to := c.now + env.Seconds(fault.length+fault.slow)
 		c.DelayedRequests = append(c.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
 			return time.Second, fault.slow > 0 && c.now < to && strings.HasPrefix(path, "/changes") && slices.Contains(refused, from)
 		})
-		after := c.now + time.Duration((fault.length+max(0, fault.slow-1))*float64(time.Second))
+		after := c.now + env.Seconds(fault.length+max(0, fault.slow-1))
 		c.OnRequest = func(from, _, path string) {
 			if fault.outage == 0 && !down && c.now > after && strings.HasSuffix(path, "/touch") && slices.Contains(refused, from) {
 				c.after(5*time.Millisecond, outage) // it has been carried out
--- a/internal/simulator/traced_scenarios_test.go
+++ b/internal/simulator/traced_scenarios_test.go
@@ -6,8 +6,8 @@
 	"os"
 	"strings"
 	"testing"
-	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 )
 
@@ -67,7 +67,7 @@
 			ids := []string{"wk-1", "wk-2"}
 			var machines []*Machine
 			cluster := playTraced(t, prefix+c.name, seed+uint64(i), until, func(cluster *Cluster) {
-				cluster.histories.FaultsOver = time.Duration(calm * float64(time.Second))
+				cluster.histories.FaultsOver = env.Seconds(calm)
 				cluster.monitorWaitingJobs()
 				if before != nil {
 					before(cluster)
@@ -111,7 +111,7 @@
 func newMonitoredCluster(seed uint64, calm float64) *Cluster {
 	cluster := NewCluster(seed)
 	cluster.ServeAPI()
-	cluster.histories.FaultsOver = time.Duration(calm * float64(time.Second))
+	cluster.histories.FaultsOver = env.Seconds(calm)
 	cluster.monitorWaitingJobs()
 	return cluster
 }
