--- /dev/null
+++ b/internal/pki/files.go
@@ -0,0 +1,86 @@
+package pki
+
+import (
+	"crypto/ecdsa"
+	"crypto/x509"
+	"encoding/pem"
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// Modes of what is written.
+const (
+	dirMode         os.FileMode = 0o755
+	publicFileMode  os.FileMode = 0o644
+	privateFileMode os.FileMode = 0o600
+)
+
+// Types of PEM blocks.
+const (
+	certificateBlock = "CERTIFICATE"
+	privateKeyBlock  = "PRIVATE KEY"
+)
+
+// keyPairFiles are the paths of a certificate and its private key.
+type keyPairFiles struct{ certificate, key string }
+
+func (f keyPairFiles) exists() bool {
+	_, err := os.Stat(f.key)
+	return err == nil
+}
+
+func (f keyPairFiles) errExists() error { return fmt.Errorf("%s %w", f.key, ErrExists) }
+
+// write writes the pair, the key first. A reader that comes between finds a pair that
+// does not fit, and keeps the one that it has until it checks again.
+func (f keyPairFiles) write(certificate []byte, key *ecdsa.PrivateKey) error {
+	if err := os.MkdirAll(filepath.Dir(f.key), dirMode); err != nil {
+		return err
+	}
+	encodedKey, err := x509.MarshalPKCS8PrivateKey(key)
+	if err != nil {
+		return err
+	}
+	if err := replaceFile(f.key, &pem.Block{Type: privateKeyBlock, Bytes: encodedKey}, privateFileMode); err != nil {
+		return err
+	}
+	return replaceFile(f.certificate, &pem.Block{Type: certificateBlock, Bytes: certificate}, publicFileMode)
+}
+
+// replaceFile replaces a file at once: readers see the old or the new one.
+func replaceFile(name string, block *pem.Block, mode os.FileMode) error {
+	temporary := name + ".new"
+	if err := os.WriteFile(temporary, pem.EncodeToMemory(block), mode); err != nil {
+		return err
+	}
+	return os.Rename(temporary, name)
+}
+
+// ReadCertificates returns the certificates in a PEM file; an error if there are none.
+func ReadCertificates(name string) ([]*x509.Certificate, error) {
+	rest, err := os.ReadFile(name)
+	if err != nil {
+		return nil, err
+	}
+	var certificates []*x509.Certificate
+	for {
+		var block *pem.Block
+		block, rest = pem.Decode(rest)
+		if block == nil {
+			break
+		}
+		if block.Type != certificateBlock {
+			continue
+		}
+		certificate, err := x509.ParseCertificate(block.Bytes)
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", name, err)
+		}
+		certificates = append(certificates, certificate)
+	}
+	if len(certificates) == 0 {
+		return nil, fmt.Errorf("%s: no certificate in it", name)
+	}
+	return certificates, nil
+}
--- /dev/null
+++ b/internal/pki/issue.go
@@ -0,0 +1,123 @@
+package pki
+
+import (
+	"crypto/ecdsa"
+	"crypto/elliptic"
+	"crypto/rand"
+	"crypto/tls"
+	"crypto/x509"
+	"crypto/x509/pkix"
+	"math/big"
+	"os"
+	"path/filepath"
+	"time"
+)
+
+// Certificates are valid from before their issue, so that clocks may differ. Those with a
+// short life, for trials, from a shorter time before.
+const (
+	backdating      = time.Hour
+	shortBackdating = time.Minute
+	shortLife       = time.Hour
+)
+
+// serialNumberBits is the size of random serial numbers.
+const serialNumberBits = 120
+
+// MakeCA writes a new authority into dir; it returns ErrExists if there is one.
+func MakeCA(dir, name string, life time.Duration) error {
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		return err
+	}
+	now := time.Now()
+	template := &x509.Certificate{
+		SerialNumber:          newSerialNumber(),
+		Subject:               pkix.Name{CommonName: name},
+		NotBefore:             now.Add(-backdating),
+		NotAfter:              now.Add(life),
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		MaxPathLenZero:        true,
+		KeyUsage:              x509.KeyUsageCertSign | x509.KeyUsageCRLSign,
+	}
+	certificate, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
+	if err != nil {
+		return err
+	}
+	authority := keyPairFiles{certificate: filepath.Join(dir, CAFile), key: filepath.Join(dir, CAKeyFile)}
+	if authority.exists() {
+		return authority.errExists()
+	}
+	return authority.write(certificate, key)
+}
+
+// MakeCert writes a certificate of a cluster, signed by the authority in
+// caDir, into dir; an earlier one there is replaced.
+func MakeCert(dir, caDir, cluster string, life time.Duration) error {
+	authority, err := tls.LoadX509KeyPair(filepath.Join(caDir, CAFile), filepath.Join(caDir, CAKeyFile))
+	if err != nil {
+		return err
+	}
+	parent, err := x509.ParseCertificate(authority.Certificate[0])
+	if err != nil {
+		return err
+	}
+	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	if err != nil {
+		return err
+	}
+	template := clusterTemplate(cluster, life)
+	certificate, err := x509.CreateCertificate(rand.Reader, template, parent, &key.PublicKey, authority.PrivateKey)
+	if err != nil {
+		return err
+	}
+	if dir != caDir {
+		if err := copyAuthority(dir, caDir); err != nil {
+			return err
+		}
+	}
+	files := keyPairFiles{certificate: filepath.Join(dir, CertFile), key: filepath.Join(dir, KeyFile)}
+	return files.write(certificate, key)
+}
+
+// clusterTemplate is a certificate that names a cluster, for both ends of a connection.
+func clusterTemplate(cluster string, life time.Duration) *x509.Certificate {
+	now := time.Now()
+	template := &x509.Certificate{
+		SerialNumber: newSerialNumber(),
+		Subject:      pkix.Name{CommonName: cluster},
+		DNSNames:     []string{cluster},
+		NotBefore:    now.Add(-backdating),
+		NotAfter:     now.Add(life),
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
+	}
+	if life < shortLife {
+		template.NotBefore = now.Add(-shortBackdating)
+	}
+	return template
+}
+
+// copyAuthority copies the authority's certificate from caDir into dir.
+func copyAuthority(dir, caDir string) error {
+	certificate, err := os.ReadFile(filepath.Join(caDir, CAFile))
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(dir, CAFile), certificate, publicFileMode)
+}
+
+// newSerialNumber draws a serial number. It panics without randomness: nothing safe can
+// be made then.
+func newSerialNumber() *big.Int {
+	limit := new(big.Int).Lsh(big.NewInt(1), serialNumberBits)
+	number, err := rand.Int(rand.Reader, limit)
+	if err != nil {
+		panic(err)
+	}
+	return number
+}
--- a/internal/pki/pki_test.go
+++ b/internal/pki/pki_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/tls"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -30,77 +31,90 @@
 	return at
 }
 
+// openStore opens the files of a cluster with one partner, whose authority is ca.
+func openStore(at func(string) string, own, partner string) (*Store, error) {
+	return Open(at(own+"/"+CertFile), at(own+"/"+KeyFile), []Partner{{Name: partner, CA: at("ca/" + CAFile)}})
+}
+
+// serveIdentities answers each caller with who it is by its certificates.
+func serveIdentities(listener *Listener, store *Store) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		caller, err := store.Identify(new(conn.(*tls.Conn).ConnectionState()))
+		_, _ = fmt.Fprintf(conn, "%s %v", caller, err)
+		_ = conn.Close()
+	}
+}
+
+// callWest calls west with a configuration and returns its answer, or why there is none.
+func callWest(address string, config *tls.Config) string {
+	conn, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp4", address, config)
+	if err != nil {
+		return err.Error()
+	}
+	defer func() { _ = conn.Close() }()
+	_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+	answer, err := io.ReadAll(conn)
+	if len(answer) == 0 && err != nil {
+		return "refused"
+	}
+	return string(answer)
+}
+
 // A listener of west that serves east; each caller says who it is, and what
 // came of it is compared with the list.
 func TestCallerIdentity(t *testing.T) {
 	at := makeCertificates(t, "west", "east", "north")
-	for _, err := range []error{MakeCA(at("other"), "other", time.Hour), MakeCert(at("fake"), at("other"), "east", time.Hour),
-		MakeCert(at("old"), at("ca"), "east", -time.Second)} {
+	for _, err := range []error{
+		MakeCA(at("other"), "other", time.Hour),
+		MakeCert(at("fake"), at("other"), "east", time.Hour),
+		MakeCert(at("old"), at("ca"), "east", -time.Second),
+	} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	ca := at("ca/" + CAFile)
-	west, err := Open(at("west/"+CertFile), at("west/"+KeyFile), []Partner{{Name: "east", CA: ca, Pins: ""}})
+	west, err := openStore(at, "west", "east")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+	tcp, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := Listen(ln, west.ServerConfig(), 16)
-	defer func() { _ = k.Close() }()
-	go func() {
-		for {
-			c, err := k.Accept()
+	listener := Listen(tcp, west.ServerConfig(), 16)
+	defer func() { _ = listener.Close() }()
+	go serveIdentities(listener, west)
+	for _, test := range []struct{ folder, want string }{
+		{"east", "east <nil>"}, {"north", "refused"}, {"fake", "refused"}, {"old", "refused"},
+	} {
+		t.Run(test.folder, func(t *testing.T) {
+			store, err := openStore(at, test.folder, "west")
 			if err != nil {
-				return
+				t.Fatal(err)
 			}
-			who, err := west.Identify(ptr(c.(*tls.Conn).ConnectionState()))
-			_, _ = fmt.Fprintf(c, "%s %v", who, err)
-			_ = c.Close()
-		}
-	}()
-	call := func(folder string) string {
-		r, err := Open(at(folder+"/"+CertFile), at(folder+"/"+KeyFile), []Partner{{Name: "west", CA: ca}})
-		if err != nil {
-			return err.Error()
-		}
-		c, err := tls.DialWithDialer(&net.Dialer{Timeout: time.Second}, "tcp4", ln.Addr().String(), r.ClientConfig("west"))
+			if got := callWest(tcp.Addr().String(), store.ClientConfig("west")); got != test.want {
+				t.Errorf("%q, want %q", got, test.want)
+			}
+		})
+	}
+	t.Run("plain text gets nothing, and soon", func(t *testing.T) {
+		conn, err := net.Dial("tcp4", tcp.Addr().String())
 		if err != nil {
-			return err.Error()
-		}
-		defer func() { _ = c.Close() }()
-		_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-		b, err := io.ReadAll(c)
-		if len(b) == 0 && err != nil {
-			return "refused"
+			t.Fatal(err)
 		}
-		return string(b)
-	}
-	for _, c := range []struct{ folder, want string }{
-		{"east", "east <nil>"}, {"north", "refused"}, {"fake", "refused"}, {"old", "refused"},
-	} {
-		if got := call(c.folder); got != c.want {
-			t.Errorf("%s: %q, want %q", c.folder, got, c.want)
+		defer func() { _ = conn.Close() }()
+		_, _ = fmt.Fprint(conn, "GET / HTTP/1.1\r\n\r\n")
+		_ = conn.SetDeadline(time.Now().Add(5 * time.Second))
+		if answer, _ := io.ReadAll(conn); strings.Contains(string(answer), "HTTP/1.1 2") {
+			t.Errorf("answered %q", answer)
 		}
-	}
-	// Plain text gets nothing, and soon.
-	c, err := net.Dial("tcp4", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	_, _ = fmt.Fprint(c, "GET / HTTP/1.1\r\n\r\n")
-	_ = c.SetDeadline(time.Now().Add(5 * time.Second))
-	if b, _ := io.ReadAll(c); strings.Contains(string(b), "HTTP/1.1 2") {
-		t.Errorf("plain text was answered %q", b)
-	}
-	_ = c.Close()
+	})
 }
 
-func ptr[T any](v T) *T { return &v }
-
 // Files that change are taken at the next look; a certificate that is off the
 // pins is not served any more, on open connections too.
 func TestRenewalAndRevocation(t *testing.T) {
@@ -131,7 +145,7 @@
 	r.mu.Lock()
 	r.checkedAt = time.Time{} // the next look is due
 	r.mu.Unlock()
-	if _, err := r.Identify(state); err == nil || !strings.Contains(err.Error(), "pins") {
+	if _, err := r.Identify(state); !errors.Is(err, ErrNotPinned) {
 		t.Errorf("off the pins: %v", err)
 	}
 	if string(r.ownCertificate().Certificate[0]) == string(before.Certificate[0]) {
@@ -147,8 +161,8 @@
 	if r.ownCertificate() == nil {
 		t.Error("a broken file took the certificate away")
 	}
-	if err := MakeCA(at("ca"), "again", time.Hour); err == nil {
-		t.Error("an authority was replaced")
+	if err := MakeCA(at("ca"), "again", time.Hour); !errors.Is(err, ErrExists) {
+		t.Errorf("an authority was replaced: %v", err)
 	}
 }
 
@@ -156,12 +170,12 @@
 // is gets in soon.
 func TestSilentCallersDoNotBlockOthers(t *testing.T) {
 	at := makeCertificates(t, "west", "east")
-	open := func(own, peer string) *Store {
-		r, err := Open(at(own+"/"+CertFile), at(own+"/"+KeyFile), []Partner{{Name: peer, CA: at("ca/" + CAFile)}})
+	open := func(own, partner string) *Store {
+		store, err := openStore(at, own, partner)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r
+		return store
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
