--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -20,70 +20,99 @@
 	"curlewspool/internal/federation"
 )
 
-// idGenerator gives the ids of the span that is about to be started.
+// What of an event makes a step a failed one.
+const (
+	stepRefused       = "refused"
+	reasonTermExpired = "its term ran out"
+)
+
+// idGenerator gives the spans of one trace ids that follow from the trace's id, so that
+// the same events give the same spans; see sdk.IDGenerator.
 type idGenerator struct {
 	traceID  trace.TraceID
 	lastSpan uint64
 }
 
+// newIDGenerator gives the trace of a loan an id that follows from its name.
+func newIDGenerator(loan string) *idGenerator {
+	sum := sha256.Sum256([]byte(loan))
+	generator := &idGenerator{}
+	copy(generator.traceID[:], sum[:])
+	return generator
+}
+
+// NewIDs returns the ids of a trace's first span.
 func (g *idGenerator) NewIDs(context.Context) (trace.TraceID, trace.SpanID) {
 	return g.traceID, g.nextSpanID()
 }
 
+// NewSpanID returns the id of a further span.
 func (g *idGenerator) NewSpanID(context.Context, trace.TraceID) trace.SpanID { return g.nextSpanID() }
 
-func (g *idGenerator) nextSpanID() (s trace.SpanID) {
+func (g *idGenerator) nextSpanID() (id trace.SpanID) {
 	g.lastSpan++
-	h := sha256.Sum256(binary.BigEndian.AppendUint64(g.traceID[:], g.lastSpan))
-	copy(s[:], h[:])
-	return s
+	sum := sha256.Sum256(binary.BigEndian.AppendUint64(g.traceID[:], g.lastSpan))
+	copy(id[:], sum[:])
+	return id
 }
 
-// GroupByLoan sorts events into loans, each in the order of time. The times of day of
-// several machines may differ by the platform's skew.
-func GroupByLoan(events []federation.Event) (names []string, by map[string][]federation.Event) {
-	by = map[string][]federation.Event{}
-	for _, e := range events {
-		if len(by[e.Loan]) == 0 {
-			names = append(names, e.Loan)
+// groupByLoan sorts events into loans, each in the order of time, and returns the loans'
+// names in order. The times of day of several machines may differ by the platform's skew.
+func groupByLoan(events []federation.Event) (names []string, byLoan map[string][]federation.Event) {
+	byLoan = map[string][]federation.Event{}
+	for _, event := range events {
+		if len(byLoan[event.Loan]) == 0 {
+			names = append(names, event.Loan)
 		}
-		by[e.Loan] = append(by[e.Loan], e)
+		byLoan[event.Loan] = append(byLoan[event.Loan], event)
 	}
 	sort.Strings(names)
-	for _, l := range by {
-		sort.SliceStable(l, func(i, j int) bool { return l[i].At < l[j].At })
+	for _, steps := range byLoan {
+		sort.SliceStable(steps, func(i, j int) bool { return steps[i].At < steps[j].At })
 	}
-	return names, by
+	return names, byLoan
 }
 
 // Export writes a trace for each loan: a span for the whole, and in it one for
 // each step, from the step before. It returns how many loans there were.
-func Export(ctx context.Context, events []federation.Event, to sdk.SpanExporter) (int, error) {
-	names, by := GroupByLoan(events)
+func Export(ctx context.Context, events []federation.Event, exporter sdk.SpanExporter) (int, error) {
+	names, byLoan := groupByLoan(events)
 	for _, name := range names {
-		list := by[name]
-		h := sha256.Sum256([]byte(name))
-		g := &idGenerator{}
-		copy(g.traceID[:], h[:])
-		p := sdk.NewTracerProvider(sdk.WithSyncer(to), sdk.WithIDGenerator(g), sdk.WithSampler(sdk.AlwaysSample()),
-			sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "curlewspool"))))
-		t := p.Tracer("curlewspool/federation")
-		at := func(e federation.Event) time.Time { return time.UnixMicro(int64(e.At * 1e6)) }
-		in, whole := t.Start(ctx, "loan", trace.WithTimestamp(at(list[0])), trace.WithAttributes(attribute.String("loan", name)))
-		before := at(list[0])
-		for _, e := range list {
-			_, s := t.Start(in, string(e.Step), trace.WithTimestamp(before), trace.WithAttributes(attribute.String("cluster", e.Cluster),
-				attribute.String("controller", e.Host), attribute.String("why", e.Reason)))
-			if e.Step == "refused" || e.Reason == "its term ran out" {
-				s.SetStatus(codes.Error, e.Reason)
-			}
-			before = at(e)
-			s.End(trace.WithTimestamp(before))
-		}
-		whole.End(trace.WithTimestamp(before))
-		if err := p.ForceFlush(ctx); err != nil {
+		if err := exportLoan(ctx, name, byLoan[name], exporter); err != nil {
 			return 0, err
 		}
 	}
 	return len(names), nil
 }
+
+// exportLoan writes the trace of one loan, of at least one step.
+func exportLoan(ctx context.Context, loan string, steps []federation.Event, exporter sdk.SpanExporter) error {
+	provider := sdk.NewTracerProvider(
+		sdk.WithSyncer(exporter),
+		sdk.WithIDGenerator(newIDGenerator(loan)),
+		sdk.WithSampler(sdk.AlwaysSample()),
+		sdk.WithResource(resource.NewSchemaless(attribute.String("service.name", "curlewspool"))))
+	tracer := provider.Tracer("curlewspool/federation")
+	stepStart := timeOf(steps[0])
+	whole, wholeSpan := tracer.Start(ctx, "loan",
+		trace.WithTimestamp(stepStart),
+		trace.WithAttributes(attribute.String("loan", loan)))
+	for _, step := range steps {
+		_, span := tracer.Start(whole, string(step.Step),
+			trace.WithTimestamp(stepStart),
+			trace.WithAttributes(
+				attribute.String("cluster", step.Cluster),
+				attribute.String("controller", step.Host),
+				attribute.String("why", step.Reason)))
+		if step.Step == stepRefused || step.Reason == reasonTermExpired {
+			span.SetStatus(codes.Error, step.Reason)
+		}
+		stepStart = timeOf(step)
+		span.End(trace.WithTimestamp(stepStart))
+	}
+	wholeSpan.End(trace.WithTimestamp(stepStart))
+	return provider.ForceFlush(ctx)
+}
+
+// timeOf is an event's time of day, to the microsecond.
+func timeOf(event federation.Event) time.Time { return time.UnixMicro(int64(event.At * 1e6)) }
