--- a/internal/controller/compatibility_test.go
+++ b/internal/controller/compatibility_test.go
@@ -24,82 +24,138 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string][]byte{}
+	records := map[string][]byte{}
 	for _, line := range strings.Split(strings.TrimSpace(string(text)), "\n") {
-		name, value, _ := strings.Cut(line, " ")
-		b, err := hex.DecodeString(value)
+		name, digits, _ := strings.Cut(line, " ")
+		record, err := hex.DecodeString(digits)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out[name] = b
+		records[name] = record
 	}
-	return out
+	return records
 }
 
 func productionJob() protocol.Job {
-	return protocol.Job{ID: "wk-000412", Class: "train", Team: "vision", Shape: protocol.ShapeGang, Priority: 2, Tasks: 16, Cores: 8, GPUs: 1, MemoryGB: 64,
-		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowSpot: true, Estimate: 240, CheckpointInterval: 30, CheckpointDuration: 4, Deadline: 900}
+	return protocol.Job{
+		ID:                 "wk-000412",
+		Class:              "train",
+		Team:               "vision",
+		Shape:              protocol.ShapeGang,
+		Priority:           2,
+		Tasks:              16,
+		Cores:              8,
+		GPUs:               1,
+		MemoryGB:           64,
+		Image:              "img-07",
+		ImageGB:            6.2,
+		MachineTypes:       []string{"g8"},
+		Zone:               "a",
+		SingleZone:         true,
+		AllowSpot:          true,
+		Estimate:           240,
+		CheckpointInterval: 30,
+		CheckpointDuration: 4,
+		Deadline:           900,
+	}
 }
 
 // Records of the version in production are read as they were meant, and written the same by
-// this one where they hold nothing new: a record that goes to and fro loses nothing.
+// this one where they hold nothing new: a record that both versions write in turn loses
+// nothing.
 func TestProductionRecordsAreRead(t *testing.T) {
 	records := productionRecords(t)
 	for name, want := range map[string]any{
-		"job":      &shard.JobRecord{Nonce: "n0.1f.7", Job: productionJob(), AcceptedAt: 1700000000.25, Rank: 5, ChunkSize: 4, ChunkShards: []int{0, 2, 1, 0}, Anywhere: true},
-		"progress": &shard.Progress{Nonce: "n0.1f.8", DoneRanges: [][2]int{{0, 3}, {7, 9}}, Running: 4, Machines: []string{"i-000001", "i-000002"}, FaultEvidence: 0.5},
-		"final":    &shard.FinalRecord{Nonce: "n0.1f.9", Status: protocol.JobCancelled, Tasks: 16, EndedAt: 1700000009.5},
-		"roster":   &shard.Roster{Nonce: "n0.1f.a", Machines: []shard.MachineRecord{{ID: "i-000001", Shard: 2, Address: "10.1.0.2:9000", Type: "g8", Zone: "a", Spot: true, Owned: true}}},
-		"owner":    &election.OwnerRecord{Nonce: "n0.1f.b", Host: "n1", FencingToken: 41 << 20, PreviousOwnerUntil: 1700000026, TakenByForce: true},
+		"job": &shard.JobRecord{
+			Nonce:       "n0.1f.7",
+			Job:         productionJob(),
+			AcceptedAt:  1700000000.25,
+			Rank:        5,
+			ChunkSize:   4,
+			ChunkShards: []int{0, 2, 1, 0},
+			Anywhere:    true,
+		},
+		"progress": &shard.Progress{
+			Nonce:         "n0.1f.8",
+			DoneRanges:    [][2]int{{0, 3}, {7, 9}},
+			Running:       4,
+			Machines:      []string{"i-000001", "i-000002"},
+			FaultEvidence: 0.5,
+		},
+		"final": &shard.FinalRecord{
+			Nonce:   "n0.1f.9",
+			Status:  protocol.JobCancelled,
+			Tasks:   16,
+			EndedAt: 1700000009.5,
+		},
+		"roster": &shard.Roster{
+			Nonce: "n0.1f.a",
+			Machines: []shard.MachineRecord{
+				{ID: "i-000001", Shard: 2, Address: "10.1.0.2:9000", Type: "g8", Zone: "a", Spot: true, Owned: true},
+			},
+		},
+		"owner": &election.OwnerRecord{
+			Nonce:              "n0.1f.b",
+			Host:               "n1",
+			FencingToken:       41 << 20,
+			PreviousOwnerUntil: 1700000026,
+			TakenByForce:       true,
+		},
 	} {
-		got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
-		if err := protocol.Decode(records[name], got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: read as %+v, %v, want %+v", name, got, err, want)
-		}
-		if b := protocol.Encode(want); !slices.Equal(b, records[name]) {
-			t.Errorf("%s: written as %x, by production as %x", name, b, records[name])
-		}
+		t.Run(name, func(t *testing.T) {
+			got := reflect.New(reflect.TypeOf(want).Elem()).Interface()
+			if err := protocol.Decode(records[name], got); err != nil || !reflect.DeepEqual(got, want) {
+				t.Errorf("read as %+v, %v, want %+v", got, err, want)
+			}
+			if written := protocol.Encode(want); !slices.Equal(written, records[name]) {
+				t.Errorf("written as %x, by production as %x", written, records[name])
+			}
+		})
 	}
 }
 
-// Messages of the version in production are read, and say nothing of a version.
+// Messages of the version in production are read; they carry no version.
 func TestProductionMessagesAreRead(t *testing.T) {
 	records := productionRecords(t)
 	read := func(name string) *peermsg.Envelope {
-		e := &peermsg.Envelope{}
-		if err := proto.Unmarshal(records[name], e); err != nil {
+		envelope := &peermsg.Envelope{}
+		if err := proto.Unmarshal(records[name], envelope); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		return e
+		return envelope
 	}
-	st := read("status").GetStatus()
-	if !st.GetReady() || st.GetVersion() != 0 || st.GetStoreAgeMs() != 120 || len(st.GetShards()) != 1 || st.GetShards()[0].GetFreeCapacity()[0].GetMachine() != "i-000001" || st.GetUnmetDemands()[0].GetTasks() != 16 {
-		t.Errorf("status read as %v", st)
+	status := read("status").GetStatus()
+	if !status.GetReady() || status.GetVersion() != 0 || status.GetStoreAgeMs() != 120 || len(status.GetShards()) != 1 {
+		t.Fatalf("status read as %v", status)
+	}
+	if status.GetShards()[0].GetFreeCapacity()[0].GetMachine() != "i-000001" || status.GetUnmetDemands()[0].GetTasks() != 16 {
+		t.Errorf("status read as %v", status)
 	}
 	var job protocol.Job
-	if err := protocol.Decode(read("ask").GetPlacementRequest().GetJob(), &job); err != nil || !reflect.DeepEqual(job, productionJob()) {
-		t.Errorf("ask read as %+v, %v", job, err)
+	request := read("ask").GetPlacementRequest()
+	if err := protocol.Decode(request.GetJob(), &job); err != nil || !reflect.DeepEqual(job, productionJob()) {
+		t.Errorf("placement request read as %+v, %v", job, err)
 	}
-	if news := read("news").GetJobNotice(); news.GetJob() != "wk-000412" || !news.GetCancelled() {
-		t.Errorf("news read as %v", news)
+	if notice := read("news").GetJobNotice(); notice.GetJob() != "wk-000412" || !notice.GetCancelled() {
+		t.Errorf("job notice read as %v", notice)
 	}
 }
 
 // productionJobRecord is what the version in production reads of a job, frozen.
 type productionJobRecord struct {
-	W   string `cbor:"w"`
-	Job struct {
+	Nonce string `cbor:"w"`
+	Job   struct {
 		ID       string  `cbor:"id"`
 		Tasks    int     `cbor:"n"`
 		Rank     int     `cbor:"rk"`
 		Estimate float64 `cbor:"es"`
 		Deadline float64 `cbor:"dl"`
 	} `cbor:"j"`
-	At       float64 `cbor:"at"`
-	Rank     int     `cbor:"r"`
-	Chunk    int     `cbor:"ch"`
-	Parts    []int   `cbor:"p"`
-	Anywhere bool    `cbor:"an,omitempty"`
+	AcceptedAt  float64 `cbor:"at"`
+	Rank        int     `cbor:"r"`
+	ChunkSize   int     `cbor:"ch"`
+	ChunkShards []int   `cbor:"p"`
+	Anywhere    bool    `cbor:"an,omitempty"`
 }
 
 // productionFinal likewise: the fields that it acts on.
@@ -108,35 +164,58 @@
 	Tasks  int    `cbor:"n"`
 }
 
-// The version in production reads what this one writes: a job that waits has no part, so it
-// takes it for nobody's; one that was released is like any other; the end of one that went
-// with another is a cancellation.
+// waitingRecord is the record of a job that waits for two others.
+func waitingRecord() *shard.JobRecord {
+	record := &shard.JobRecord{Nonce: "n", Job: productionJob(), AcceptedAt: 1000}
+	record.Job.Dependencies = []string{"wk-1", "wk-2"}
+	return record
+}
+
+// The version in production reads what this one writes: a job that waits for others has no
+// shard, so production schedules it nowhere; one that was released is like any other; the
+// end of one that was cancelled with another is a cancellation.
 func TestNewRecordsAreReadByProduction(t *testing.T) {
-	waiting := &shard.JobRecord{Nonce: "n", Job: productionJob(), AcceptedAt: 1000}
-	waiting.Job.Dependencies = []string{"wk-1", "wk-2"}
-	if !waiting.AwaitsDependencies() {
-		t.Fatal("it does not wait")
-	}
-	var old productionJobRecord
-	if err := protocol.Decode(protocol.Encode(waiting), &old); err != nil || len(old.Parts) != 0 || old.Job.ID != "wk-000412" || old.Job.Tasks != 16 {
-		t.Errorf("a job that waits is read as %+v, %v", old, err)
-	}
-	released := waiting.Release(1300)
-	released.Rank, released.ChunkSize, released.ChunkShards = 3, 16, []int{1}
-	old = productionJobRecord{}
-	if err := protocol.Decode(protocol.Encode(released), &old); err != nil || !slices.Equal(old.Parts, []int{1}) || old.Chunk != 16 || old.At != 1300 || old.Job.Deadline != 600 {
-		t.Errorf("a released job is read as %+v, %v", old, err)
-	}
-	// Moved by the version before: what it does not know is gone, and is not needed any more.
-	back := &shard.JobRecord{}
-	if err := protocol.Decode(protocol.Encode(&old), back); err != nil || back.AwaitsDependencies() || back.Job.Deadline != 600 {
-		t.Errorf("moved by the version before it is read as %+v, %v", back, err)
-	}
-	if late := waiting.Release(1950); late.Job.Deadline <= 0 || late.Job.Deadline > 1 {
-		t.Errorf("released after its deadline it has %v s", late.Job.Deadline)
-	}
-	var end productionFinal
-	if err := protocol.Decode(protocol.Encode(&shard.FinalRecord{Status: protocol.JobCancelled, Tasks: 16, CancelledWith: "wk-1"}), &end); err != nil || end.Status != string(protocol.JobCancelled) || end.Tasks != 16 {
-		t.Errorf("an end is read as %+v, %v", end, err)
-	}
+	t.Run("waiting job", func(t *testing.T) {
+		waiting := waitingRecord()
+		if !waiting.AwaitsDependencies() {
+			t.Fatal("it does not wait")
+		}
+		var read productionJobRecord
+		err := protocol.Decode(protocol.Encode(waiting), &read)
+		if err != nil || len(read.ChunkShards) != 0 || read.Job.ID != "wk-000412" || read.Job.Tasks != 16 {
+			t.Errorf("read as %+v, %v", read, err)
+		}
+	})
+	t.Run("released job", func(t *testing.T) {
+		released := waitingRecord().Release(1300)
+		released.Rank, released.ChunkSize, released.ChunkShards = 3, 16, []int{1}
+		var read productionJobRecord
+		err := protocol.Decode(protocol.Encode(released), &read)
+		if err != nil || !slices.Equal(read.ChunkShards, []int{1}) || read.ChunkSize != 16 {
+			t.Errorf("read as %+v, %v", read, err)
+		}
+		if read.AcceptedAt != 1300 || read.Job.Deadline != 600 {
+			t.Errorf("accepted at %v with %v s, want 1300 and 600", read.AcceptedAt, read.Job.Deadline)
+		}
+		// Written again by production: what it does not know is gone, and is not needed
+		// any more.
+		back := &shard.JobRecord{}
+		if err := protocol.Decode(protocol.Encode(&read), back); err != nil || back.AwaitsDependencies() || back.Job.Deadline != 600 {
+			t.Errorf("written by production it is read as %+v, %v", back, err)
+		}
+	})
+	t.Run("released after its deadline", func(t *testing.T) {
+		late := waitingRecord().Release(1950)
+		if late.Job.Deadline <= 0 || late.Job.Deadline > 1 {
+			t.Errorf("it has %v s", late.Job.Deadline)
+		}
+	})
+	t.Run("cancelled with another", func(t *testing.T) {
+		final := &shard.FinalRecord{Status: protocol.JobCancelled, Tasks: 16, CancelledWith: "wk-1"}
+		var read productionFinal
+		err := protocol.Decode(protocol.Encode(final), &read)
+		if err != nil || read.Status != string(protocol.JobCancelled) || read.Tasks != 16 {
+			t.Errorf("read as %+v, %v", read, err)
+		}
+	})
 }
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -3,13 +3,20 @@
 import (
 	"time"
 
+	"curlewspool/internal/federation"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
 	"curlewspool/internal/shard"
+	"curlewspool/internal/userapi"
 )
 
-// This file holds what the components (shard, userapi, federation) ask of their controller.
+// What the components ask of their controller.
+var (
+	_ shard.Controller = (*Controller)(nil)
+	_ userapi.Host     = (*Controller)(nil)
+	_ federation.Host  = (*Controller)(nil)
+)
 
 // Now is the monotonic time since the start of the process.
 func (c *Controller) Now() time.Duration { return c.env.Now() }
