--- a/internal/controller/machinecalls.go
+++ b/internal/controller/machinecalls.go
@@ -35,6 +35,15 @@
 	return c.workerCallsInFlight >= c.settings.Deployment.Limits.Sockets/8
 }
 
+// commandCall is a command batch that is on its way to a machine.
+type commandCall struct {
+	owned   *shard.Shard
+	machine *shard.Machine
+	batch   *protocol.CommandBatch
+	known   reportVersion // the machine's latest report from before the call
+	timeout time.Duration
+}
+
 // SendOrders sends a machine its commands without waiting for its report. Without
 // commands the request still brings the shard's fencing token, and its answer is a
 // report. If it cannot be sent now, the shard's next tick tries again.
@@ -49,41 +58,54 @@
 		Incarnation:  max(machine.Incarnation, 1),
 		Commands:     nonNilCommands(machine.NextCommands(agent.Direct, c.CanLaunch(), c.env.Now())),
 	}
-	known := latestReportOf(machine)
+	call := &commandCall{
+		owned:   owned,
+		machine: machine,
+		batch:   batch,
+		known:   latestReportOf(machine),
+		timeout: c.machineCallTimeout(),
+	}
 	answer := &protocol.Report{}
-	timeout := c.machineCallTimeout()
-	c.env.Call(machine.Address, http.MethodPost, "/orders", batch, answer, timeout, func(status int) {
+	c.env.Call(machine.Address, http.MethodPost, "/orders", batch, answer, call.timeout, func(status int) {
 		c.workerCallsInFlight--
-		isAnswered := status == http.StatusOK || status == http.StatusConflict
-		// What is not this machine's report does not say what became of the commands.
-		if !isAnswered || !isReportOf(answer, machine.ID) {
-			c.handleLostCommands(machine, batch.FencingToken, timeout)
-			return
-		}
-		machine.CommandsAnswered()
-		if !c.isCurrent(owned, machine) {
-			return
-		}
-		if answer.FencingToken > machine.FencingToken {
-			c.claimHigherToken(owned, answer.FencingToken)
-			machine.PauseCommands(c.env.Now() + timeout)
-			return
-		}
-		c.acceptSolicitedReport(owned, machine, answer, known)
-		if status == http.StatusConflict {
-			machine.PauseCommands(c.env.Now() + timeout/8)
-		}
+		c.handleCommandAnswer(call, status, answer)
 	})
 }
 
+// handleCommandAnswer handles the end of a call. A machine answers 200, or 409
+// if it executed nothing as the fencing token or the incarnation is not the latest; both
+// answers are reports. Anything else does not say what became of the commands.
+func (c *Controller) handleCommandAnswer(call *commandCall, status int, answer *protocol.Report) {
+	machine := call.machine
+	isAnswered := status == http.StatusOK || status == http.StatusConflict
+	if !isAnswered || !isReportOf(answer, machine.ID) {
+		c.handleLostCommands(call)
+		return
+	}
+	machine.CommandsAnswered()
+	if !c.isCurrent(call.owned, machine) {
+		return
+	}
+	if answer.FencingToken > machine.FencingToken {
+		c.claimHigherToken(call.owned, answer.FencingToken)
+		machine.PauseCommands(c.env.Now() + call.timeout)
+		return
+	}
+	c.acceptSolicitedReport(call.owned, machine, answer, call.known)
+	if status == http.StatusConflict {
+		machine.PauseCommands(c.env.Now() + call.timeout/8)
+	}
+}
+
 // handleLostCommands handles a command batch whose outcome is unknown. A machine that
 // does not answer must not hold sockets that others need: the pause before the next
 // batch doubles, with jitter.
-func (c *Controller) handleLostCommands(machine *shard.Machine, fencingToken uint64, timeout time.Duration) {
-	machine.CommandsLost(fencingToken)
+func (c *Controller) handleLostCommands(call *commandCall) {
+	machine := call.machine
+	machine.CommandsLost(call.batch.FencingToken)
 	doublings := min(machine.UnansweredCommands(), maxCommandBackoffDoublings)
-	backoff := (timeout << doublings) / 2
-	jitter := time.Duration(c.env.Rand().Int64N(int64(timeout) / 2))
+	backoff := (call.timeout << doublings) / 2
+	jitter := time.Duration(c.env.Rand().Int64N(int64(call.timeout) / 2))
 	machine.PauseCommands(c.env.Now() + backoff + jitter)
 }
 
