--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"curlewspool/internal/dependency"
+	"curlewspool/internal/dispatch"
 	"curlewspool/internal/election"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/peermsg"
@@ -186,8 +187,10 @@
 		return
 	}
 	released := waiting.Release(c.WallSeconds())
-	c.PlanShards(&c.WithInherited(released).Job, func(rank, chunkSize int, shards []int) {
-		released.Rank, released.ChunkSize, released.ChunkShards = rank, chunkSize, shards
+	c.PlanShards(&c.WithInherited(released).Job, func(placement dispatch.Placement) {
+		released.Rank = placement.Rank
+		released.ChunkSize = placement.ChunkSize
+		released.ChunkShards = placement.Shards
 		c.writeReleasedJob(id, waiting, released)
 	})
 }
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -7,6 +7,7 @@
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/settings"
 	"curlewspool/internal/shard"
+	"curlewspool/internal/userapi"
 )
 
 // This file holds what the components (shard, userapi, federation) ask of their controller.
@@ -45,35 +46,27 @@
 	return max(time.Second, c.reportInterval())
 }
 
-// JobProgress is what the store says of a live job's tasks: how many are done, how many
-// run, and whether any of it has begun.
-func (c *Controller) JobProgress(id string) (done, running int, started bool) {
+// JobProgress is what the store says of a live job's tasks.
+func (c *Controller) JobProgress(id string) userapi.TaskCounts {
+	var counts userapi.TaskCounts
 	record := c.jobs[id]
 	if record == nil {
-		return 0, 0, false
+		return counts
 	}
 	if len(record.DoneRanges) > 0 || len(record.LentChunks) > 0 {
 		// Some of it was, or is, at a partner cluster.
-		ranges, runningThere := c.StoredProgress(id)
-		done, running, started = countTasks(ranges), runningThere, true
+		ranges, running := c.StoredProgress(id)
+		counts = userapi.TaskCounts{Done: shard.CountTasks(ranges), Running: running, Started: true}
 	} else {
 		for _, progress := range c.progress[id] {
-			started = true
-			running += progress.Running
-			done += countTasks(progress.DoneRanges)
+			counts.Started = true
+			counts.Running += progress.Running
+			counts.Done += shard.CountTasks(progress.DoneRanges)
 		}
 	}
-	done = min(done, record.Job.Tasks)
-	return done, min(running, record.Job.Tasks-done), started
-}
-
-// countTasks counts the tasks of inclusive ranges.
-func countTasks(ranges [][2]int) int {
-	tasks := 0
-	for _, r := range ranges {
-		tasks += r[1] - r[0] + 1
-	}
-	return tasks
+	counts.Done = min(counts.Done, record.Job.Tasks)
+	counts.Running = min(counts.Running, record.Job.Tasks-counts.Done)
+	return counts
 }
 
 // Deadlines lists a job's deadlines, in seconds after its submission: its own, or those
@@ -123,8 +116,7 @@
 		if record.AwaitsDependencies() {
 			continue // it uses nothing of a guarantee
 		}
-		done, _, _ := c.JobProgress(id)
-		unfinished := float64(record.Job.Tasks - done)
+		unfinished := float64(record.Job.Tasks - c.JobProgress(id).Done)
 		demand := byTeam[record.Job.Team]
 		demand.cores += record.Job.Cores * unfinished
 		demand.gpus += record.Job.GPUs * unfinished
--- a/internal/controller/jobplacement.go
+++ b/internal/controller/jobplacement.go
@@ -54,21 +54,21 @@
 }
 
 // placeJob ranks a job, cuts it into chunks of so many tasks and gives each chunk a shard.
-func (c *Controller) placeJob(job *protocol.Job) (rank, chunkSize int, shards []int) {
-	rank = c.ranker.Rank(job)
+func (c *Controller) placeJob(job *protocol.Job) dispatch.Placement {
+	rank := c.ranker.Rank(job)
 	limited := c.hasTeamLimit(job)
 	maxChunks := 1
 	if job.Shape == protocol.ShapeArray && !job.SingleZone && !job.SpreadZones && !limited {
 		maxChunks = c.maxChunks(job)
 	}
-	chunkSize = (job.Tasks + maxChunks - 1) / maxChunks
-	shards = make([]int, (job.Tasks+chunkSize-1)/chunkSize)
+	chunkSize := (job.Tasks + maxChunks - 1) / maxChunks
+	shards := make([]int, (job.Tasks+chunkSize-1)/chunkSize)
 	if limited {
 		home := teamShard(job.Team, len(c.controllerNames))
 		for chunk := range shards {
 			shards[chunk] = home
 		}
-		return rank, chunkSize, shards
+		return dispatch.Placement{Rank: rank, ChunkSize: chunkSize, Shards: shards}
 	}
 	eligible := c.eligibleShards(job)
 	for chunk := range shards {
@@ -77,7 +77,7 @@
 		tasks := min(chunkSize, job.Tasks-chunk*chunkSize)
 		c.shardSlots[shardID].Add(rank, dispatch.WorkOf(job, tasks))
 	}
-	return rank, chunkSize, shards
+	return dispatch.Placement{Rank: rank, ChunkSize: chunkSize, Shards: shards}
 }
 
 // maxChunks is into how many chunks an array may be cut.
@@ -137,12 +137,12 @@
 	return capacity
 }
 
-// PlanShards asks the leader for a job's rank, chunk size and shards.
+// PlanShards asks the leader to place a job.
 //
 // Without a leader, or with a slow one, this controller chooses by what all owners reported
 // last, so that users need not wait for an election. At most one submission waits for a
 // leader that is gone: the next ones do not ask it until it is heard again.
-func (c *Controller) PlanShards(job *protocol.Job, done func(rank, chunkSize int, shards []int)) {
+func (c *Controller) PlanShards(job *protocol.Job, done func(placement dispatch.Placement)) {
 	placeLocally := func() { done(c.placeJob(job)) }
 	if c.isLeader() {
 		placeLocally()
@@ -161,7 +161,7 @@
 		for chunk, shardID := range answer.Shards {
 			shards[chunk] = int(shardID)
 		}
-		done(int(answer.Rank), int(answer.ChunkSize), shards)
+		done(dispatch.Placement{Rank: int(answer.Rank), ChunkSize: int(answer.ChunkSize), Shards: shards})
 	}
 	request := &peermsg.PlacementRequest{Id: id, Job: protocol.Encode(job)}
 	c.env.Send(leader, &peermsg.Envelope{Body: &peermsg.Envelope_PlacementRequest{PlacementRequest: request}})
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -53,13 +53,13 @@
 	if !c.isLeader() || protocol.Decode(request.Job, job) != nil || job.Tasks < 1 {
 		return
 	}
-	rank, chunkSize, shards := c.placeJob(job)
+	placement := c.placeJob(job)
 	answer := &peermsg.PlacementResponse{
 		Id:        request.Id,
-		Rank:      int32(rank),
-		ChunkSize: int32(chunkSize),
+		Rank:      int32(placement.Rank),
+		ChunkSize: int32(placement.ChunkSize),
 	}
-	for _, shardID := range shards {
+	for _, shardID := range placement.Shards {
 		answer.Shards = append(answer.Shards, int32(shardID))
 	}
 	c.env.Send(sender, &peermsg.Envelope{
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -109,8 +109,7 @@
 			continue
 		}
 		job := &record.Job
-		_, running, _ := c.JobProgress(id)
-		cores := float64(running) * max(job.Cores, job.GPUs)
+		cores := float64(c.JobProgress(id).Running) * max(job.Cores, job.GPUs)
 		if job.AllowSpot {
 			load.SpotCoreSeconds += cores * job.Estimate / 2
 		} else {
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -39,6 +39,13 @@
 	return max(job.Estimate, 1) * (job.Cores + job.GPUs) * float64(tasks)
 }
 
+// Placement is the leader's choice for a job.
+type Placement struct {
+	Rank      int   // by margin, see Ranker
+	ChunkSize int   // tasks of each chunk but the last, which may have fewer
+	Shards    []int // of each chunk
+}
+
 // ChooseShard picks the shard for a job of the given rank among the eligible ones: the
 // first with no work of its rank or above, or else the one with the least, ties broken by
 // the number of jobs. It returns -1 if none is eligible.
--- a/internal/federation/home_leases.go
+++ b/internal/federation/home_leases.go
@@ -96,7 +96,7 @@
 	}
 	from, to := record.TaskRange(away.Chunk)
 	lease := &lentLease{key: key, away: away, tasks: to - from, since: now}
-	lease.storedDone = countTasks(rangesWithin(record.DoneRanges, from, to-from))
+	lease.storedDone = shard.CountTasks(rangesWithin(record.DoneRanges, from, to-from))
 	b.lentLeases[key] = lease
 	if away.LeaderToken == b.fencingToken {
 		b.renewals.RecordIssued(key)
@@ -147,7 +147,7 @@
 		b.takeBack(lease, "the partner did not take it in time")
 	case lease.mayHandOver(now):
 		b.handOver(lease, record)
-	case lease.isAccepted && countTasks(lease.done) > lease.storedDone && !lease.isSaving &&
+	case lease.isAccepted && shard.CountTasks(lease.done) > lease.storedDone && !lease.isSaving &&
 		now-lease.lastSavedAt > b.progressSaveInterval(len(b.lentLeases)):
 		b.saveProgress(lease, now)
 	}
@@ -269,7 +269,7 @@
 
 // tookBack notes that a chunk is back.
 func (b *Broker) tookBack(lease *lentLease, reason string) {
-	job, done := lease.key.Job, countTasks(lease.done)
+	job, done := lease.key.Job, shard.CountTasks(lease.done)
 	slog.Info("federation: remote lease returned", "job", job, "lease", lease.key.Number,
 		"partner", lease.away.Partner, "done", done, "tasks", lease.tasks, "reason", reason)
 	b.Counters.Back++
@@ -290,7 +290,7 @@
 		if b.lentLeases[lease.key] != lease || lease.isReturning {
 			return false
 		}
-		saved = countTasks(lease.done)
+		saved = shard.CountTasks(lease.done)
 		record.DoneRanges = b.mergedDone(record, lease)
 		return true
 	}, func(ok bool) {
--- a/internal/federation/ranges.go
+++ b/internal/federation/ranges.go
@@ -23,12 +23,3 @@
 	}
 	return within
 }
-
-// countTasks is the number of tasks in ranges.
-func countTasks(ranges [][2]int) int {
-	count := 0
-	for _, r := range ranges {
-		count += r[1] - r[0] + 1
-	}
-	return count
-}
--- a/internal/shard/taskranges.go
+++ b/internal/shard/taskranges.go
@@ -34,6 +34,15 @@
 	return merged
 }
 
+// CountTasks is the number of tasks in ranges that do not meet.
+func CountTasks(ranges [][2]int) int {
+	count := 0
+	for _, r := range ranges {
+		count += r[1] - r[0] + 1
+	}
+	return count
+}
+
 // doneRanges lists the finished tasks of the job's chunks in a shard, as many ranges as
 // fit into a limit in bytes, the longest ones: a task that is left out is only started
 // again by a later owner, and ends at once.
--- a/internal/userapi/replies.go
+++ b/internal/userapi/replies.go
@@ -73,9 +73,9 @@
 
 // liveState is what users are told of a live job.
 func (s *Service) liveState(job string) *protocol.JobState {
-	done, running, started := s.host.JobProgress(job)
-	state := &protocol.JobState{ID: job, Status: protocol.JobPending, Done: &done, Running: &running}
-	if started && running > 0 {
+	counts := s.host.JobProgress(job)
+	state := &protocol.JobState{ID: job, Status: protocol.JobPending, Done: &counts.Done, Running: &counts.Running}
+	if counts.Started && counts.Running > 0 {
 		state.Status = protocol.JobRunning
 	}
 	state.Remote = s.host.RemoteTasks(job)
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"curlewspool/internal/dispatch"
 	"curlewspool/internal/httpreply"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
@@ -163,9 +164,15 @@
 // placeAndStore has the leader choose shards for a job, and stores it.
 func (s *Service) placeAndStore(job *protocol.Job, timing submissionTiming, reply Reply) {
 	acceptedAt := s.host.WallSeconds()
-	s.host.PlanShards(job, func(rank, chunk int, shards []int) {
+	s.host.PlanShards(job, func(placement dispatch.Placement) {
 		timing.placedAt = s.env.Now()
-		record := &shard.JobRecord{Job: *job, AcceptedAt: acceptedAt, Rank: rank, ChunkSize: chunk, ChunkShards: shards}
+		record := &shard.JobRecord{
+			Job:         *job,
+			AcceptedAt:  acceptedAt,
+			Rank:        placement.Rank,
+			ChunkSize:   placement.ChunkSize,
+			ChunkShards: placement.Shards,
+		}
 		record.Anywhere = job.Tasks == 1 && job.Shape == protocol.ShapeArray &&
 			s.host.Store().HasBacklog(s.host.Settings().Dispatch.Anywhere)
 		s.storeJob(&timing, record, reply)
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"curlewspool/internal/dependency"
+	"curlewspool/internal/dispatch"
 	"curlewspool/internal/env"
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
@@ -26,11 +27,10 @@
 	MachineTypes() map[string]*protocol.MachineType
 	// Job gives a live job's record; nil: it is not known.
 	Job(id string) *shard.JobRecord
-	// JobProgress counts a job's tasks; started: some of it has been on a machine.
-	JobProgress(id string) (done, running int, started bool)
-	// PlanShards asks the leader for the job's rank, the number of tasks in a chunk, and
-	// the shard of each chunk.
-	PlanShards(j *protocol.Job, done func(rank, chunk int, shards []int))
+	// JobProgress counts a job's tasks.
+	JobProgress(id string) TaskCounts
+	// PlanShards asks the leader to place the job.
+	PlanShards(job *protocol.Job, done func(placement dispatch.Placement))
 	// AnnounceChange tells the other controllers that a job's record changed.
 	AnnounceChange(id string)
 	// AnnounceCancelled tells them that a job's cancellation is stored, and with which
@@ -47,6 +47,12 @@
 	SupportsDependencies() bool
 }
 
+// TaskCounts is how far a live job is.
+type TaskCounts struct {
+	Done, Running int
+	Started       bool // some of the job is, or was, on a machine
+}
+
 // Service belongs to the controller's event loop.
 type Service struct {
 	host     Host
