--- a/internal/simulator/digest_test.go
+++ b/internal/simulator/digest_test.go
@@ -5,6 +5,7 @@
 	"crypto/sha256"
 	"encoding/binary"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -24,7 +25,7 @@
 func trafficDigest(seed int) string {
 	hash := sha256.New()
 	playObserved(seed, func(message Traffic) {
-		fmt.Fprintf(hash, "%d %q %q %q %q %d ", message.At, message.From, message.To, message.Method, message.Path, message.Status)
+		_, _ = fmt.Fprintf(hash, "%d %q %q %q %q %d ", message.At, message.From, message.To, message.Method, message.Path, message.Status)
 		length := binary.BigEndian.AppendUint64(nil, uint64(len(message.Body)))
 		hash.Write(length)
 		hash.Write(message.Body)
@@ -48,12 +49,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
 	out := bufio.NewWriter(file)
 	for i, digest := range trafficDigests(*firstDay, *days) {
-		fmt.Fprintf(out, "%d %s\n", digestSeed(*firstDay+i), digest)
+		_, _ = fmt.Fprintf(out, "%d %s\n", digestSeed(*firstDay+i), digest)
 	}
-	if err := out.Flush(); err != nil {
+	if err := errors.Join(out.Flush(), file.Close()); err != nil {
 		t.Fatal(err)
 	}
 }
