--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -1,19 +1,12 @@
 package controller
 
 import (
-	"log/slog"
-	"time"
-
 	"curlewspool/internal/election"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/shard"
 )
 
-// This file tells shards what the leader reports of the cluster's capacity, and counts what
-// machines cost.
-
-// costLogInterval is how often the costs since the start are logged.
-const costLogInterval = time.Minute
+// This file tells shards what the leader reports of the cluster's capacity.
 
 // leaderStatus is the latest status of another controller that leads; nil: none is heard.
 func (c *Controller) leaderStatus() *peermsg.Status {
@@ -62,22 +55,3 @@
 	}
 	return false
 }
-
-// accountCost counts what this controller's machines, and for the leader those that boot,
-// have cost since the last call. Machines that nobody owns meanwhile are not counted.
-func (c *Controller) accountCost(now time.Duration) {
-	elapsed := min(now-c.spentUpdatedAt, 4*c.statusInterval())
-	c.spentUpdatedAt = now
-	c.eachShard(func(s *shard.Shard) {
-		if c.ownedShard(s.ID) != nil {
-			s.AddCost(elapsed, c.spent)
-		}
-	})
-	if c.isLeader() {
-		c.autoscaler.AddBootCosts(elapsed, c.spent)
-	}
-	if now-c.spentLoggedAt >= costLogInterval {
-		c.spentLoggedAt = now
-		slog.Info("controller: machine cost", "by_cause", c.spent.String())
-	}
-}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,8 +15,8 @@
 //     the stored records of machines, and the shards of new ones
 //   - jobplacement.go, jobnotices.go, dependencies.go: the shards of jobs, notices of
 //     their changes, and jobs that wait for others
-//   - machinetransfer.go, scaleout.go, capacity.go, headroom.go: machines for work that
-//     lacks them
+//   - machinetransfer.go, scaleout.go, capacity.go, headroom.go, cost.go: machines for
+//     work that lacks them, and what machines cost
 //   - federation.go, federationcapacity.go, chunkoffload.go: partner clusters
 //   - host.go, userapi.go, debugstate.go, metering.go: what components, users and
 //     operators ask
@@ -28,7 +28,6 @@
 	"time"
 
 	"curlewspool/internal/autoscaler"
-	"curlewspool/internal/dispatch"
 	"curlewspool/internal/election"
 	"curlewspool/internal/env"
 	"curlewspool/internal/federation"
@@ -54,19 +53,18 @@
 	federation *federation.Broker // nil: there are no partner clusters
 
 	// What the cached keys say.
-	jobs                map[string]*shard.JobRecord
-	progress            map[string]map[int]*shard.Progress // by job and shard
-	machines            map[string]*shard.MachineRecord
-	machinesByRosterKey map[string][]string
-	leftRosterKey       []string        // machines that left a roster key since the cache passed its last revision
-	knownCancelled      map[string]bool // jobs that another controller reported as cancelled and the cache still has
-	dependencies        dependencyState
-	progressCleanup     progressCleanup
-	enrolment           pendingEnrolments
+	jobs            map[string]*shard.JobRecord
+	progress        map[string]map[int]*shard.Progress // by job and shard
+	machines        map[string]*shard.MachineRecord
+	rosterIndex     rosterIndex
+	knownCancelled  map[string]bool // jobs that another controller reported as cancelled and the cache still has
+	dependencies    dependencyState
+	progressCleanup progressCleanup
+	enrolment       pendingEnrolments
 
 	machineTypes   map[string]*protocol.MachineType // the cloud's catalog
 	shards         map[int]*shard.Shard             // owned ones
-	largeShapes    map[string]shard.LargeJob
+	largeShapes    largeShapes
 	classDeadlines map[string][]float64 // by class, as the service-level objectives set them
 	teamDemands    teamDemandCache
 	arrivals       *autoscaler.ArrivalRate
@@ -80,56 +78,46 @@
 	attestation  attestation
 
 	workerCallsInFlight int
-
-	// Placement: requests to the leader and what a leader needs to answer them.
-	placementRequests      map[uint64]func(*peermsg.PlacementResponse)
-	lastPlacementRequestID uint64
-	ranker                 *dispatch.Ranker
-	shardSlots             []dispatch.RankSlots
+	placement           jobPlacement
+	cost                machineCost // of what this controller owned
 
 	// Of the leader.
 	autoscaler     *autoscaler.Autoscaler // nil: this controller does not lead
 	oversizedGangs []*peermsg.UnmetDemand // gangs that are larger than their shard
 	lastReleaseAt  time.Duration          // when an owner was last asked to release a shard
-
-	// Cost of what this controller owned, since it began.
-	spent                         shard.CostByCause
-	spentUpdatedAt, spentLoggedAt time.Duration
 }
 
 // New makes a controller; Start sets it going.
 func New(environment env.Environment, cfg *settings.Settings) *Controller {
 	metered := newMeteredEnvironment(environment, cfg)
 	c := &Controller{
-		env:                 metered,
-		meter:               metered,
-		settings:            cfg,
-		controllerNames:     cfg.Names(),
-		jobs:                map[string]*shard.JobRecord{},
-		progress:            map[string]map[int]*shard.Progress{},
-		machines:            map[string]*shard.MachineRecord{},
-		machinesByRosterKey: map[string][]string{},
-		knownCancelled:      map[string]bool{},
-		progressCleanup:     newProgressCleanup(),
-		enrolment:           newPendingEnrolments(),
-		machineTypes:        map[string]*protocol.MachineType{},
-		shards:              map[int]*shard.Shard{},
-		largeShapes:         map[string]shard.LargeJob{},
-		classDeadlines:      map[string][]float64{},
-		peers:               newPeers(cfg),
-		placementRequests:   map[uint64]func(*peermsg.PlacementResponse){},
-		ranker:              &dispatch.Ranker{MaxRank: cfg.Rank.Max, Window: cfg.Rank.Window},
-		spent:               shard.CostByCause{},
+		env:             metered,
+		meter:           metered,
+		settings:        cfg,
+		controllerNames: cfg.Names(),
+		jobs:            map[string]*shard.JobRecord{},
+		progress:        map[string]map[int]*shard.Progress{},
+		machines:        map[string]*shard.MachineRecord{},
+		rosterIndex:     newRosterIndex(),
+		knownCancelled:  map[string]bool{},
+		progressCleanup: newProgressCleanup(),
+		enrolment:       newPendingEnrolments(),
+		machineTypes:    map[string]*protocol.MachineType{},
+		shards:          map[int]*shard.Shard{},
+		largeShapes:     largeShapes{},
+		classDeadlines:  map[string][]float64{},
+		peers:           newPeers(cfg),
+		placement:       newJobPlacement(cfg),
+		cost:            machineCost{byCause: shard.CostByCause{}},
 	}
 	c.arrivals = autoscaler.NewArrivalRate(4 * c.workerLease())
 	c.store = c.newStore()
 	metered.incarnation = c.store.Incarnation()
 	// So that an answer to the previous process is none to a request of this one.
-	c.lastPlacementRequestID = metered.incarnation
+	c.placement.lastRequestID = metered.incarnation
 	c.registry = c.newRegistry()
 	c.resetDependencies()
 	c.userAPI = userapi.New(c, metered)
-	c.resetShardQueues()
 	return c
 }
 
--- a/internal/controller/debugstate.go
+++ b/internal/controller/debugstate.go
@@ -78,7 +78,7 @@
 		UserAPI:      c.userAPI.String(),
 		SubmitTimes:  *c.userAPI.Latencies(),
 		PeakLoad:     c.meter.peakLoad(),
-		Spent:        maps.Clone(c.spent),
+		Spent:        maps.Clone(c.cost.byCause),
 		Dependencies: c.dependencyCounts(),
 	}
 	c.eachShard(func(owned *shard.Shard) {
--- a/internal/controller/federationcapacity.go
+++ b/internal/controller/federationcapacity.go
@@ -91,7 +91,7 @@
 		return startOfEmptyShard
 	}
 	job := &record.Job
-	queued := c.shardSlots[demand.Shard].Work[min(record.Rank, c.settings.Rank.Max)]
+	queued := c.placement.queues[demand.Shard].Work[min(record.Rank, c.settings.Rank.Max)]
 	ahead := queued - dispatch.WorkOf(job, int(demand.Tasks))
 	startsIn := env.Seconds(max(demand.ExpectedStartS, job.Estimate/2, demand.WaitedS))
 	return max(startsIn, env.Seconds(max(0, ahead)/shardCores))
@@ -150,9 +150,9 @@
 	rank = min(rank, c.settings.Rank.Max)
 	shardID := c.shardWithMostRoom(job)
 	if shardID < 0 || shardID >= len(c.controllerNames) {
-		shardID = dispatch.ChooseShard(c.shardSlots, c.eligibleShards(job), rank)
+		return c.placement.choose(job, job.Tasks, rank, c.eligibleShards(job))
 	}
-	c.shardSlots[shardID].Add(rank, dispatch.WorkOf(job, job.Tasks))
+	c.placement.add(shardID, job, job.Tasks, rank)
 	return shardID
 }
 
--- a/internal/controller/fixtures_test.go
+++ b/internal/controller/fixtures_test.go
@@ -18,7 +18,7 @@
 		settings:    &settings.Settings{},
 		machines:    map[string]*shard.MachineRecord{},
 		enrolment:   newPendingEnrolments(),
-		largeShapes: map[string]shard.LargeJob{},
+		largeShapes: largeShapes{},
 		machineTypes: map[string]*protocol.MachineType{
 			"small": {Name: "small", Cores: 4, MemoryGB: 16},
 			"big":   {Name: "big", Cores: 32, MemoryGB: 128},
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"time"
 
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
@@ -13,29 +14,39 @@
 // maxLargeShapes is how many shapes of large jobs are remembered.
 const maxLargeShapes = 64
 
-// noteLargeJob remembers the shape of a gang or a job of one task. Every controller sees all
-// jobs, so all shards keep machines for the same shapes.
-func (c *Controller) noteLargeJob(job *protocol.Job) {
-	if job.Shape != protocol.ShapeGang && job.Tasks > 1 || job.Priority < 0 {
-		return
-	}
-	if len(c.largeShapes) >= maxLargeShapes {
-		c.forgetOldestLargeShape()
+// largeShapes are the shapes of gangs and jobs of one task that were seen lately, each with
+// the most tasks seen, by a key of what matters of a shape.
+type largeShapes map[string]shard.LargeJob
+
+// note remembers the shape of a job.
+func (l largeShapes) note(job *protocol.Job, now time.Duration) {
+	if len(l) >= maxLargeShapes {
+		l.forgetOldest()
 	}
 	key := fmt.Sprintf("%s/%s/%v/%v", job.Class, job.Zone, job.MachineTypes, job.Cores)
-	large := shard.LargeJob{Job: *job, LastSeen: c.env.Now()}
-	large.Job.Tasks = max(job.Tasks, c.largeShapes[key].Job.Tasks) // of the largest one
-	c.largeShapes[key] = large
+	large := shard.LargeJob{Job: *job, LastSeen: now}
+	large.Job.Tasks = max(job.Tasks, l[key].Job.Tasks)
+	l[key] = large
 }
 
-func (c *Controller) forgetOldestLargeShape() {
+// forgetOldest drops the shape that was not seen for longest, the first by key of those.
+func (l largeShapes) forgetOldest() {
 	oldest := ""
-	for _, key := range sortedKeys(c.largeShapes) {
-		if oldest == "" || c.largeShapes[key].LastSeen < c.largeShapes[oldest].LastSeen {
+	for _, key := range sortedKeys(l) {
+		if oldest == "" || l[key].LastSeen < l[oldest].LastSeen {
 			oldest = key
 		}
 	}
-	delete(c.largeShapes, oldest)
+	delete(l, oldest)
+}
+
+// noteLargeJob remembers the shape of a job if it is a gang or has one task. Every controller
+// sees all jobs, so all shards keep machines for the same shapes.
+func (c *Controller) noteLargeJob(job *protocol.Job) {
+	isLarge := job.Shape == protocol.ShapeGang || job.Tasks <= 1
+	if isLarge && job.Priority >= 0 {
+		c.largeShapes.note(job, c.env.Now())
+	}
 }
 
 // LargeJobs are the shapes of gangs and jobs of one task that were seen lately, each with the
--- a/internal/controller/jobplacement.go
+++ b/internal/controller/jobplacement.go
@@ -5,6 +5,7 @@
 	"curlewspool/internal/election"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
 	"curlewspool/internal/shard"
 )
 
@@ -19,34 +20,78 @@
 // controllers and versions must agree on it.
 const teamHashModulus = 1 << 20
 
-// resetShardQueues forgets what shards reported of their queues.
-func (c *Controller) resetShardQueues() {
-	c.shardSlots = make([]dispatch.RankSlots, len(c.controllerNames))
-	for shardID := range c.shardSlots {
-		c.shardSlots[shardID] = dispatch.NewRankSlots(c.settings.Rank.Max)
+// jobPlacement is what a controller needs to choose the shards of jobs, and its requests
+// that the leader do so.
+type jobPlacement struct {
+	ranker        *dispatch.Ranker
+	queues        []dispatch.RankSlots // of each shard, as reported last and with what was placed since
+	requests      map[uint64]func(*peermsg.PlacementResponse)
+	lastRequestID uint64
+}
+
+func newJobPlacement(cfg *settings.Settings) jobPlacement {
+	placement := jobPlacement{
+		ranker:   &dispatch.Ranker{MaxRank: cfg.Rank.Max, Window: cfg.Rank.Window},
+		requests: map[uint64]func(*peermsg.PlacementResponse){},
+	}
+	placement.resetQueues(len(cfg.Names()))
+	return placement
+}
+
+// resetQueues forgets what shards reported of their queues.
+func (p *jobPlacement) resetQueues(shardCount int) {
+	p.queues = make([]dispatch.RankSlots, shardCount)
+	for shardID := range p.queues {
+		p.queues[shardID] = dispatch.NewRankSlots(p.ranker.MaxRank)
 	}
 }
 
-// learnShardQueues takes what a status says of the queues of its shards. What is malformed,
-// as of a version with other ranks, is left out.
-func (c *Controller) learnShardQueues(status *peermsg.Status) {
+// learnQueues takes what a status says of the queues of its shards. What is malformed, as of
+// a version with other ranks, is left out.
+func (p *jobPlacement) learnQueues(status *peermsg.Status) {
 	for _, reported := range status.Shards {
 		shardID := int(reported.Shard)
-		if shardID < 0 || shardID >= len(c.shardSlots) {
+		if shardID < 0 || shardID >= len(p.queues) {
 			continue
 		}
-		if len(reported.QueuedWork) != c.settings.Rank.Max+1 || len(reported.QueuedJobs) != len(reported.QueuedWork) {
+		if len(reported.QueuedWork) != p.ranker.MaxRank+1 || len(reported.QueuedJobs) != len(reported.QueuedWork) {
 			continue
 		}
-		queue := dispatch.NewRankSlots(c.settings.Rank.Max)
+		queue := dispatch.NewRankSlots(p.ranker.MaxRank)
 		copy(queue.Work, reported.QueuedWork)
 		for rank, jobs := range reported.QueuedJobs {
 			queue.Jobs[rank] = int(jobs)
 		}
-		c.shardSlots[shardID] = queue
+		p.queues[shardID] = queue
 	}
 }
 
+// choose chooses one of the eligible shards for some tasks of a job and counts them for it.
+func (p *jobPlacement) choose(job *protocol.Job, tasks, rank int, eligible []bool) int {
+	shardID := dispatch.ChooseShard(p.queues, eligible, rank)
+	p.add(shardID, job, tasks, rank)
+	return shardID
+}
+
+// add counts tasks of a job for a shard until the shard reports them.
+func (p *jobPlacement) add(shardID int, job *protocol.Job, tasks, rank int) {
+	p.queues[shardID].Add(rank, dispatch.WorkOf(job, tasks))
+}
+
+// newRequest notes a request to the leader and returns its identifier.
+func (p *jobPlacement) newRequest(done func(*peermsg.PlacementResponse)) uint64 {
+	p.lastRequestID++
+	p.requests[p.lastRequestID] = done
+	return p.lastRequestID
+}
+
+// takeRequest ends a request and returns its function; nil if it has ended before.
+func (p *jobPlacement) takeRequest(id uint64) func(*peermsg.PlacementResponse) {
+	done := p.requests[id]
+	delete(p.requests, id)
+	return done
+}
+
 // hasTeamLimit reports whether a job's team has a limit, so that all of it stays in one shard.
 func (c *Controller) hasTeamLimit(job *protocol.Job) bool {
 	team := c.settings.Team(job.Team)
@@ -55,7 +100,7 @@
 
 // placeJob ranks a job, cuts it into chunks of so many tasks and gives each chunk a shard.
 func (c *Controller) placeJob(job *protocol.Job) dispatch.Placement {
-	rank := c.ranker.Rank(job)
+	rank := c.placement.ranker.Rank(job)
 	limited := c.hasTeamLimit(job)
 	maxChunks := 1
 	if job.Shape == protocol.ShapeArray && !job.SingleZone && !job.SpreadZones && !limited {
@@ -72,10 +117,8 @@
 	}
 	eligible := c.eligibleShards(job)
 	for chunk := range shards {
-		shardID := dispatch.ChooseShard(c.shardSlots, eligible, rank)
-		shards[chunk] = shardID
 		tasks := min(chunkSize, job.Tasks-chunk*chunkSize)
-		c.shardSlots[shardID].Add(rank, dispatch.WorkOf(job, tasks))
+		shards[chunk] = c.placement.choose(job, tasks, rank, eligible)
 	}
 	return dispatch.Placement{Rank: rank, ChunkSize: chunkSize, Shards: shards}
 }
@@ -154,22 +197,19 @@
 		placeLocally()
 		return
 	}
-	c.lastPlacementRequestID++
-	id := c.lastPlacementRequestID
-	c.placementRequests[id] = func(answer *peermsg.PlacementResponse) {
+	id := c.placement.newRequest(func(answer *peermsg.PlacementResponse) {
 		shards := make([]int, len(answer.Shards))
 		for chunk, shardID := range answer.Shards {
 			shards[chunk] = int(shardID)
 		}
 		done(dispatch.Placement{Rank: int(answer.Rank), ChunkSize: int(answer.ChunkSize), Shards: shards})
-	}
+	})
 	request := &peermsg.PlacementRequest{Id: id, Job: protocol.Encode(job)}
 	c.env.Send(leader, &peermsg.Envelope{Body: &peermsg.Envelope_PlacementRequest{PlacementRequest: request}})
 	c.env.After(c.statusInterval()/placementTimeoutDivisor, func() {
-		if c.placementRequests[id] == nil {
+		if c.placement.takeRequest(id) == nil {
 			return // answered
 		}
-		delete(c.placementRequests, id)
 		member.unresponsive = true
 		placeLocally()
 	})
--- a/internal/controller/keychanges.go
+++ b/internal/controller/keychanges.go
@@ -167,8 +167,7 @@
 	c.progress = map[string]map[int]*shard.Progress{}
 	c.machines = map[string]*shard.MachineRecord{}
 	c.progressCleanup.orphanedJobs = map[string]bool{}
-	c.machinesByRosterKey = map[string][]string{}
-	c.leftRosterKey = nil
+	c.rosterIndex = newRosterIndex()
 	c.knownCancelled = map[string]bool{} // what is read from now on is newer than these jobs' ends
 	c.resetDependencies()
 	if c.federation != nil {
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -105,7 +105,7 @@
 		return
 	}
 	c.autoscaler = autoscaler.New(c.env, c.settings, token)
-	c.resetShardQueues()
+	c.placement.resetQueues(len(c.controllerNames))
 	if c.federation != nil {
 		c.federation.StartLeadership(token)
 	}
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -16,7 +16,7 @@
 	switch body := envelope.Body.(type) {
 	case *peermsg.Envelope_Status:
 		sender.applyStatus(body.Status, c.env.Now(), c.peerTimeout())
-		c.learnShardQueues(body.Status)
+		c.placement.learnQueues(body.Status)
 	case *peermsg.Envelope_PlacementRequest:
 		c.handlePlacementRequest(envelope.From, body.PlacementRequest)
 	case *peermsg.Envelope_PlacementResponse:
@@ -68,12 +68,12 @@
 }
 
 func (c *Controller) handlePlacementResponse(answer *peermsg.PlacementResponse) {
-	done := c.placementRequests[answer.Id]
-	if done == nil || len(answer.Shards) == 0 {
+	if len(answer.Shards) == 0 {
 		return
 	}
-	delete(c.placementRequests, answer.Id)
-	done(answer)
+	if done := c.placement.takeRequest(answer.Id); done != nil {
+		done(answer)
+	}
 }
 
 // handleShardAssignment claims a shard that the leader assigns to this controller, unless
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -38,6 +38,51 @@
 	return rosterKeyPrefix + strconv.Itoa(group) + "/" + strconv.Itoa(level)
 }
 
+// rosterIndex is which machines are under each roster key.
+type rosterIndex struct {
+	machinesByKey map[string][]string
+	leftKey       []string // machines that left a key since the last call of takeDeparted
+}
+
+func newRosterIndex() rosterIndex {
+	return rosterIndex{machinesByKey: map[string][]string{}}
+}
+
+// replace sets the machines under a key.
+func (r *rosterIndex) replace(key string, ids []string) {
+	present := make(map[string]bool, len(ids))
+	for _, id := range ids {
+		present[id] = true
+	}
+	for _, id := range r.machinesByKey[key] {
+		if !present[id] {
+			r.leftKey = append(r.leftKey, id)
+		}
+	}
+	r.machinesByKey[key] = ids
+}
+
+// takeDeparted returns the machines that left a key since the last call and are under none.
+func (r *rosterIndex) takeDeparted() []string {
+	departed := slices.DeleteFunc(r.leftKey, r.contains)
+	r.leftKey = nil
+	return departed
+}
+
+// contains reports whether a machine is under some key of its group.
+func (r *rosterIndex) contains(id string) bool {
+	group := rosterGroupOf(id)
+	for level := 0; ; level++ {
+		ids, ok := r.machinesByKey[rosterKey(group, level)]
+		if !ok {
+			return false
+		}
+		if slices.Contains(ids, id) {
+			return true
+		}
+	}
+}
+
 // applyRoster compares a roster with what was known of its machines; value is nil when the
 // key was deleted.
 func (c *Controller) applyRoster(key string, value []byte) {
@@ -48,20 +93,13 @@
 			return
 		}
 	}
-	present := make(map[string]bool, len(roster.Machines))
 	ids := make([]string, 0, len(roster.Machines))
 	for i := range roster.Machines {
 		record := &roster.Machines[i]
-		present[record.ID] = true
 		ids = append(ids, record.ID)
 		c.applyMachineRecord(record)
 	}
-	for _, id := range c.machinesByRosterKey[key] {
-		if !present[id] {
-			c.leftRosterKey = append(c.leftRosterKey, id)
-		}
-	}
-	c.machinesByRosterKey[key] = ids
+	c.rosterIndex.replace(key, ids)
 }
 
 // applyMachineRecord tells the shards of a machine that is new or has changed.
@@ -78,31 +116,13 @@
 // key and is under none now was removed. (One that moved to another key of its group was
 // not, in whatever order the cache reports the mutations of one transaction.)
 func (c *Controller) dropDepartedMachines() {
-	departed := c.leftRosterKey
-	c.leftRosterKey = nil
-	for _, id := range departed {
-		if c.isInRoster(id) {
-			continue
-		}
+	for _, id := range c.rosterIndex.takeDeparted() {
 		delete(c.machines, id)
 		delete(c.enrolment.removals, id)
 		c.eachShard(func(s *shard.Shard) { s.UpdateMachine(id, nil) })
 	}
 }
 
-// isInRoster reports whether a machine is under some key of its group.
-func (c *Controller) isInRoster(id string) bool {
-	for level := 0; ; level++ {
-		ids, ok := c.machinesByRosterKey[rosterKey(rosterGroupOf(id), level)]
-		if !ok {
-			return false
-		}
-		if slices.Contains(ids, id) {
-			return true
-		}
-	}
-}
-
 // rosterLevels are a group's rosters as the cache has them.
 func (c *Controller) rosterLevels(group int) []shard.Roster {
 	var rosters []shard.Roster
--- a/internal/controller/rosterlevels_test.go
+++ b/internal/controller/rosterlevels_test.go
@@ -155,11 +155,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := &Controller{
-				settings:            &settings.Settings{},
-				machines:            map[string]*shard.MachineRecord{},
-				machinesByRosterKey: map[string][]string{},
-				enrolment:           newPendingEnrolments(),
-				shards:              map[int]*shard.Shard{},
+				settings:    &settings.Settings{},
+				machines:    map[string]*shard.MachineRecord{},
+				rosterIndex: newRosterIndex(),
+				enrolment:   newPendingEnrolments(),
+				shards:      map[int]*shard.Shard{},
 			}
 			machine := rostersWith(3)[0].Machines[0]
 			group := rosterGroupOf(machine.ID)
--- a/internal/controller/statusround.go
+++ b/internal/controller/statusround.go
@@ -17,7 +17,7 @@
 	c.releaseUnreachableShards()
 	status := c.newStatus(now)
 	c.accountCost(now)
-	c.learnShardQueues(status)
+	c.placement.learnQueues(status)
 	c.ownStatus = status
 	if c.isLeader() {
 		c.assignShards()
