--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -94,3 +94,98 @@
 		})
 	}
 }
+
+// TestChooseOwner: the default owner if it has no shard yet and suits, else by room, zone and
+// number of shards.
+func TestChooseOwner(t *testing.T) {
+	candidates := []ownerCandidate{
+		{name: "n0", zone: "a", isAvailable: true},
+		{name: "n1", zone: "b", isAvailable: true},
+		{name: "n2", zone: "a", isAvailable: true},
+	}
+	unavailable := func(names ...string) []ownerCandidate {
+		changed := slices.Clone(candidates)
+		for i := range changed {
+			changed[i].isAvailable = !slices.Contains(names, changed[i].name)
+		}
+		return changed
+	}
+	zoneB := map[string]float64{"a": 1, "b": 9}
+	for _, test := range []struct {
+		name       string
+		candidates []ownerCandidate
+		cores      map[string]float64 // of shard 0, by zone
+		shards     map[string]int     // by owner
+		machines   map[string]int     // by owner
+		previous   string
+		want       string
+	}{
+		{name: "default owner", candidates: candidates, want: "n0"},
+		{name: "default owner has a shard", candidates: candidates, shards: map[string]int{"n0": 1}, want: "n1"},
+		{name: "default owner is unavailable", candidates: unavailable("n0"), want: "n1"},
+		{name: "default owner is in another zone", candidates: candidates, cores: zoneB, want: "n1"},
+		{name: "default owner has no room", candidates: candidates, machines: map[string]int{"n0": 10}, want: "n1"},
+		{name: "room counts more than zone", candidates: candidates, cores: zoneB, machines: map[string]int{"n1": 10}, want: "n0"},
+		{name: "zone counts more than shards", candidates: candidates, cores: zoneB, shards: map[string]int{"n1": 2}, want: "n1"},
+		{name: "fewest shards", candidates: candidates, shards: map[string]int{"n0": 2, "n1": 2, "n2": 1}, want: "n2"},
+		{name: "not the previous owner again", candidates: unavailable("n0"), previous: "n1", want: "n2"},
+		{name: "nobody", candidates: unavailable("n0", "n1", "n2"), want: ""},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			round := &assignmentRound{
+				candidates:       test.candidates,
+				machinesByShard:  []int{5},
+				typedMachines:    []int{5},
+				coresByZone:      []map[string]float64{test.cores},
+				shardsByOwner:    test.shards,
+				machinesByOwner:  test.machines,
+				maxMachinesOwned: 10,
+			}
+			if got := round.chooseOwner(0, test.previous); got != test.want {
+				t.Errorf("owner %q, want %q", got, test.want)
+			}
+		})
+	}
+}
+
+// TestShouldHandOver: a shard is taken from its owner only for one that is settled and
+// clearly better.
+func TestShouldHandOver(t *testing.T) {
+	zoneB := map[string]float64{"a": 1, "b": 9}
+	mostlyZoneB := map[string]float64{"a": 3, "b": 7} // home, but not enough to change hands
+	for _, test := range []struct {
+		name      string
+		cores     map[string]float64 // of shard 0, by zone
+		shards    map[string]int     // by owner
+		machines  map[string]int     // by owner; each may have 20
+		isSettled bool
+		want      bool
+	}{
+		{"to its zone", zoneB, map[string]int{"n0": 1, "n1": 1}, nil, true, true},
+		{"to its zone, but the candidate is not settled", zoneB, map[string]int{"n0": 1, "n1": 1}, nil, false, false},
+		{"to its zone, but without ample room", zoneB, map[string]int{"n0": 1, "n1": 1}, map[string]int{"n1": 11}, true, false},
+		{"not for a small majority of cores", mostlyZoneB, map[string]int{"n0": 2}, nil, true, false},
+		{"to a controller without a shard", nil, map[string]int{"n0": 2}, nil, true, true},
+		{"not the only shard of its owner", nil, map[string]int{"n0": 1}, nil, true, false},
+		{"from an overloaded owner", nil, map[string]int{"n0": 2, "n1": 1}, map[string]int{"n0": 21}, true, true},
+		{"from an overloaded owner, but nobody has room", nil, map[string]int{"n0": 2, "n1": 1}, map[string]int{"n0": 21, "n1": 16}, true, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			round := &assignmentRound{
+				candidates: []ownerCandidate{
+					{name: "n0", zone: "a", isAvailable: true, isSettled: true},
+					{name: "n1", zone: "b", isAvailable: true, isSettled: test.isSettled},
+				},
+				machinesByShard:  []int{5},
+				typedMachines:    []int{5},
+				coresByZone:      []map[string]float64{test.cores},
+				shardsByOwner:    test.shards,
+				machinesByOwner:  test.machines,
+				maxMachinesOwned: 20,
+			}
+			if got := round.shouldHandOver(0, &round.candidates[0]); got != test.want {
+				t.Errorf("hands over: %v, want %v", got, test.want)
+			}
+		})
+	}
+}
