--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -50,7 +50,7 @@
 			c.assignShard(round, shardID)
 		}
 	}
-	if now-c.lastReleaseAt < c.workerLease()/4 {
+	if now-c.lastReleaseAt < c.handoverInterval() {
 		return
 	}
 	for shardID := range c.controllerNames {
@@ -63,6 +63,14 @@
 	}
 }
 
+// handoverInterval is the least time between two handovers, and for how long a controller must
+// have been ready before a shard is handed over to it.
+func (c *Controller) handoverInterval() time.Duration { return c.workerLease() / 4 }
+
+// startupGrace is how long a new leader leaves the other controllers to start and to reclaim
+// the shards that they owned.
+func (c *Controller) startupGrace() time.Duration { return 2 * c.statusInterval() }
+
 // newAssignmentRound takes stock of the candidates, the shards' machines and their owners.
 func (c *Controller) newAssignmentRound(now time.Duration) *assignmentRound {
 	shardCount := len(c.controllerNames)
@@ -81,7 +89,7 @@
 			name:        name,
 			zone:        c.memberZone(name),
 			isAvailable: c.isAvailableOwner(name, now),
-			isSettled:   now-c.memberReadySince(name) >= c.workerLease()/4,
+			isSettled:   now-c.memberReadySince(name) >= c.handoverInterval(),
 		})
 	}
 	c.countMachines(round)
@@ -124,7 +132,7 @@
 func (c *Controller) lacksOwner(shardID int, now time.Duration) bool {
 	owner := c.registry.OwnerOf(election.ShardKey(shardID))
 	if owner == "" {
-		return now-c.readySince >= 2*c.statusInterval()
+		return now-c.readySince >= c.startupGrace()
 	}
 	return c.isAbsent(owner)
 }
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -42,15 +42,13 @@
 // includeSpot: also work that a spot machine would do for.
 func (c *Controller) HasDemandFor(machine *shard.Machine, includeSpot bool) bool {
 	machineType := c.machineTypes[machine.Type]
-	for _, status := range c.liveStatuses() {
-		for _, demand := range status.UnmetDemands {
-			record := c.jobs[demand.Job]
-			if record == nil || record.Job.AllowSpot && !includeSpot {
-				continue
-			}
-			if shard.CanRunOn(&record.Job, machineType, machine.Zone, machine.Spot) {
-				return true
-			}
+	for demand := range unmetDemands(c.liveStatuses()) {
+		record := c.jobs[demand.Job]
+		if record == nil || record.Job.AllowSpot && !includeSpot {
+			continue
+		}
+		if shard.CanRunOn(&record.Job, machineType, machine.Zone, machine.Spot) {
+			return true
 		}
 	}
 	return false
--- a/internal/controller/federationcapacity.go
+++ b/internal/controller/federationcapacity.go
@@ -46,10 +46,8 @@
 func (c *Controller) WaitingChunks() []*federation.WaitingChunk {
 	cores := c.coresByShard()
 	var waiting []*federation.WaitingChunk
-	for _, status := range c.liveStatuses() {
-		for _, demand := range status.UnmetDemands {
-			waiting = append(waiting, c.waitingChunksOf(demand, cores)...)
-		}
+	for demand := range unmetDemands(c.liveStatuses()) {
+		waiting = append(waiting, c.waitingChunksOf(demand, cores)...)
 	}
 	return waiting
 }
@@ -108,15 +106,13 @@
 // machineTypesInDemand are the machine types that unmet demands of this cluster could use.
 func (c *Controller) machineTypesInDemand() map[string]bool {
 	inDemand := map[string]bool{}
-	for _, status := range c.liveStatuses() {
-		for _, demand := range status.UnmetDemands {
-			record := c.jobs[demand.Job]
-			if record == nil {
-				continue
-			}
-			for name, machineType := range c.machineTypes {
-				inDemand[name] = inDemand[name] || machineType.TasksThatFit(&record.Job, 1) > 0
-			}
+	for demand := range unmetDemands(c.liveStatuses()) {
+		record := c.jobs[demand.Job]
+		if record == nil {
+			continue
+		}
+		for name, machineType := range c.machineTypes {
+			inDemand[name] = inDemand[name] || machineType.TasksThatFit(&record.Job, 1) > 0
 		}
 	}
 	return inDemand
@@ -126,20 +122,18 @@
 // machines of types that are not needed otherwise.
 func (c *Controller) startableByShard(job *protocol.Job, neededTypes map[string]bool) []int {
 	startable := make([]int, len(c.controllerNames))
-	for _, status := range c.liveStatuses() {
-		for _, reported := range status.Shards {
-			shardID := int(reported.Shard)
-			if shardID < 0 || shardID >= len(startable) {
-				continue
-			}
-			tasksByZone := map[string]int{}
-			for _, free := range reported.FreeCapacity {
-				if !neededTypes[free.Type] {
-					tasksByZone[free.Zone] += shard.CountFitting(c, job, free, true)
-				}
+	for reported := range shardStatuses(c.liveStatuses()) {
+		shardID := int(reported.Shard)
+		if shardID < 0 || shardID >= len(startable) {
+			continue
+		}
+		tasksByZone := map[string]int{}
+		for _, free := range reported.FreeCapacity {
+			if !neededTypes[free.Type] {
+				tasksByZone[free.Zone] += shard.CountFitting(c, job, free, true)
 			}
-			startable[shardID] = max(startable[shardID], shard.MaxPlaceable(job, tasksByZone))
 		}
+		startable[shardID] = max(startable[shardID], shard.MaxPlaceable(job, tasksByZone))
 	}
 	return startable
 }
@@ -160,15 +154,13 @@
 // start anywhere.
 func (c *Controller) shardWithMostRoom(job *protocol.Job) int {
 	best, most := -1, 0
-	for _, status := range c.liveStatuses() {
-		for _, reported := range status.Shards {
-			tasks := 0
-			for _, free := range reported.FreeCapacity {
-				tasks += shard.CountFitting(c, job, free, true)
-			}
-			if tasks = min(tasks, job.Tasks); tasks > most {
-				best, most = int(reported.Shard), tasks
-			}
+	for reported := range shardStatuses(c.liveStatuses()) {
+		tasks := 0
+		for _, free := range reported.FreeCapacity {
+			tasks += shard.CountFitting(c, job, free, true)
+		}
+		if tasks = min(tasks, job.Tasks); tasks > most {
+			best, most = int(reported.Shard), tasks
 		}
 	}
 	return best
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -82,12 +82,10 @@
 // countSpares counts the whole machines of a machine's type and kind that shards report.
 func (c *Controller) countSpares(machine *shard.Machine, isByZone bool) spareMachines {
 	spares := spareMachines{byZone: map[string]int{}}
-	for _, status := range c.liveStatuses() {
-		for _, reported := range status.Shards {
-			for _, free := range reported.FreeCapacity {
-				if free.Reclaimable && free.Type == machine.Type && free.Spot == machine.Spot {
-					spares.add(free, machine, isByZone)
-				}
+	for reported := range shardStatuses(c.liveStatuses()) {
+		for _, free := range reported.FreeCapacity {
+			if free.Reclaimable && free.Type == machine.Type && free.Spot == machine.Spot {
+				spares.add(free, machine, isByZone)
 			}
 		}
 	}
--- a/internal/controller/machineplacement.go
+++ b/internal/controller/machineplacement.go
@@ -57,8 +57,13 @@
 
 // newMachinePlacement counts the capacity of all shards, with the machines that are about
 // to be recorded. machineType is nil for a machine whose type is not in the catalog.
-func (c *Controller) newMachinePlacement(machine *shard.MachineRecord, machineType *protocol.MachineType, coresLeft float64) *machinePlacement {
-	placement := &machinePlacement{machine: machine, cores: 1, shards: make([]shardCapacity, len(c.controllerNames))}
+func (c *Controller) newMachinePlacement(machine *shard.MachineRecord, machineType *protocol.MachineType,
+	coresLeft float64) *machinePlacement {
+	placement := &machinePlacement{
+		machine: machine,
+		cores:   1,
+		shards:  make([]shardCapacity, len(c.controllerNames)),
+	}
 	if machineType != nil {
 		placement.cores = machineType.Cores
 	}
--- a/internal/controller/machinetransfer.go
+++ b/internal/controller/machinetransfer.go
@@ -1,6 +1,8 @@
 package controller
 
 import (
+	"slices"
+
 	"curlewspool/internal/election"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
@@ -9,6 +11,10 @@
 
 // This file transfers machines to shards whose gangs are larger than they are.
 
+// busyTransferDivisor is the part of the time within which a job should begin ([score] begin)
+// after which machines are asked for that are not free yet.
+const busyTransferDivisor = 4
+
 // transferDemands are the jobs for which machines of other shards are asked for.
 type transferDemands struct {
 	oversizedGangs []*peermsg.UnmetDemand // gangs that do not fit into their shard
@@ -38,27 +44,26 @@
 	if oldest.MissingTasks <= 0 { // machines that come up meanwhile are for it, too
 		c.oversizedGangs = append(c.oversizedGangs, oldest)
 	}
-	wantsBusy := c.WallSeconds()-c.jobs[oldest.Job].AcceptedAt > c.settings.Score.Begin/4
+	waited := c.WallSeconds() - c.jobs[oldest.Job].AcceptedAt
+	wantsBusy := waited > c.settings.Score.Begin/busyTransferDivisor
 	c.transferMachinesFor(oldest, int(max(oldest.MissingTasks, oldest.OverdueTasks)), statuses, wantsBusy)
 }
 
 // collectTransferDemands sorts what shards report as unmet.
 func (c *Controller) collectTransferDemands(statuses []*peermsg.Status) transferDemands {
 	var demands transferDemands
-	for _, status := range statuses {
-		for _, demand := range status.UnmetDemands {
-			if c.jobs[demand.Job] == nil || demand.MissingTasks <= 0 && demand.OverdueTasks <= 0 {
-				continue
-			}
-			if demand.MissingTasks <= 0 && c.isFreeArray(&c.jobs[demand.Job].Job) {
-				demands.oldestArray = c.older(demands.oldestArray, demand)
-				continue
-			}
-			if demand.MissingTasks > 0 {
-				demands.oversizedGangs = append(demands.oversizedGangs, demand)
-			}
-			demands.oldest = c.older(demands.oldest, demand)
+	for demand := range unmetDemands(statuses) {
+		if c.jobs[demand.Job] == nil || demand.MissingTasks <= 0 && demand.OverdueTasks <= 0 {
+			continue
 		}
+		if demand.MissingTasks <= 0 && c.isFreeArray(&c.jobs[demand.Job].Job) {
+			demands.oldestArray = c.older(demands.oldestArray, demand)
+			continue
+		}
+		if demand.MissingTasks > 0 {
+			demands.oversizedGangs = append(demands.oversizedGangs, demand)
+		}
+		demands.oldest = c.older(demands.oldest, demand)
 	}
 	return demands
 }
@@ -80,17 +85,15 @@
 // empty one of a shard in which nothing is queued.
 func (c *Controller) transferIdleMachine(demand *peermsg.UnmetDemand, statuses []*peermsg.Status) {
 	job := &c.jobs[demand.Job].Job
-	for _, status := range statuses {
-		for _, other := range status.Shards {
-			if other.Shard == demand.Shard || len(other.QueuedWork) == 0 || other.QueuedWork[0] > 0 {
-				continue
-			}
-			for _, free := range other.FreeCapacity {
-				isInZone := demand.Zone == "" || demand.Zone == free.Zone
-				if free.Empty && isInZone && shard.CanRunOn(job, c.machineTypes[free.Type], free.Zone, free.Spot) {
-					c.requestTransfer(transferRequest{machine: free.Machine, from: int(other.Shard), to: demand.Shard})
-					return
-				}
+	for other := range shardStatuses(statuses) {
+		if other.Shard == demand.Shard || len(other.QueuedWork) == 0 || other.QueuedWork[0] > 0 {
+			continue
+		}
+		for _, free := range other.FreeCapacity {
+			isInZone := demand.Zone == "" || demand.Zone == free.Zone
+			if free.Empty && isInZone && shard.CanRunOn(job, c.machineTypes[free.Type], free.Zone, free.Spot) {
+				c.requestTransfer(transferRequest{machine: free.Machine, from: int(other.Shard), to: demand.Shard})
+				return
 			}
 		}
 	}
@@ -198,12 +201,10 @@
 // addFree selects among the machines that shards report as free, either the empty ones or
 // those that are partly in use.
 func (s *transferSelection) addFree(statuses []*peermsg.Status, isEmpty bool) {
-	for _, status := range statuses {
-		for _, from := range status.Shards {
-			for _, free := range from.FreeCapacity {
-				if free.Empty == isEmpty {
-					s.add(free.Machine, free.Type, free.Zone, free.Spot, int(from.Shard))
-				}
+	for from := range shardStatuses(statuses) {
+		for _, free := range from.FreeCapacity {
+			if free.Empty == isEmpty {
+				s.add(free.Machine, free.Type, free.Zone, free.Spot, int(from.Shard))
 			}
 		}
 	}
@@ -241,10 +242,7 @@
 
 // moveChunks has the shards owned here hand queued chunks to shards with free room.
 func (c *Controller) moveChunks() {
-	var statuses []*peermsg.ShardStatus
-	for _, status := range c.liveStatuses() {
-		statuses = append(statuses, status.Shards...)
-	}
+	statuses := slices.Collect(shardStatuses(c.liveStatuses()))
 	c.eachShard(func(candidate *shard.Shard) {
 		if c.ownedShard(candidate.ID) != nil {
 			candidate.MoveQueuedChunk(statuses)
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -85,11 +85,9 @@
 // retiringMachines are the machines that shards want to have deleted.
 func retiringMachines(statuses []*peermsg.Status) map[string]bool {
 	retiring := map[string]bool{}
-	for _, status := range statuses {
-		for _, reported := range status.Shards {
-			for _, id := range reported.RetiringMachines {
-				retiring[id] = true
-			}
+	for reported := range shardStatuses(statuses) {
+		for _, id := range reported.RetiringMachines {
+			retiring[id] = true
 		}
 	}
 	return retiring
@@ -99,10 +97,8 @@
 // those that are borrowed.
 func (c *Controller) runningLoad(statuses []*peermsg.Status) autoscaler.RunningLoad {
 	var load autoscaler.RunningLoad
-	for _, status := range statuses {
-		for _, reported := range status.Shards {
-			load.UnreachableCores += reported.UnreachableCores
-		}
+	for reported := range shardStatuses(statuses) {
+		load.UnreachableCores += reported.UnreachableCores
 	}
 	for id, record := range c.jobs {
 		if record.Loan != nil {
