--- a/internal/controller/federation.go
+++ b/internal/controller/federation.go
@@ -2,8 +2,7 @@
 
 import (
 	"math/rand/v2"
-
-	"github.com/gofiber/fiber/v2"
+	"net/http"
 
 	"curlewspool/internal/election"
 	"curlewspool/internal/federation"
@@ -26,11 +25,11 @@
 // HandlePartnerRequest handles a request of a partner, which its certificate names.
 func (c *Controller) HandlePartnerRequest(from, path string, body []byte, reply federation.Reply) {
 	if c.federation == nil || c.settings.Federation.Partner(from) == nil {
-		reply(fiber.StatusForbidden, &protocol.ErrorResponse{Error: "no partner"}, 0)
+		reply(http.StatusForbidden, &protocol.ErrorResponse{Error: "no partner"}, 0)
 		return
 	}
 	if !c.store.IsLoaded() || c.store.IsUnavailable() || len(c.machineTypes) == 0 {
-		reply(fiber.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "not ready"}, 1)
+		reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "not ready"}, 1)
 		return
 	}
 	switch path {
@@ -43,7 +42,7 @@
 	case federation.PathRenewals:
 		handlePartnerRequest(c, from, body, reply, c.federation.AnswerRenewals)
 	default:
-		reply(fiber.StatusNotFound, &protocol.ErrorResponse{Error: "no such path"}, 0)
+		reply(http.StatusNotFound, &protocol.ErrorResponse{Error: "no such path"}, 0)
 	}
 }
 
@@ -53,11 +52,11 @@
 	handle func(from string, request *Request, reply federation.Reply)) {
 	request := new(Request)
 	if len(body) > protocol.MaxBodyBytes || !protocol.IsMap(body) || protocol.Decode(body, request) != nil {
-		reply(fiber.StatusBadRequest, &protocol.ErrorResponse{Error: "not understood"}, 0)
+		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "not understood"}, 0)
 		return
 	}
 	if !c.isLeader() {
-		reply(fiber.StatusMisdirectedRequest, &protocol.ErrorResponse{Error: "not the leader"}, 0)
+		reply(http.StatusMisdirectedRequest, &protocol.ErrorResponse{Error: "not the leader"}, 0)
 		return
 	}
 	handle(from, request, reply)
--- a/internal/controller/machinediscovery.go
+++ b/internal/controller/machinediscovery.go
@@ -3,10 +3,9 @@
 import (
 	"cmp"
 	"log/slog"
+	"net/http"
 	"slices"
 
-	"github.com/gofiber/fiber/v2"
-
 	"curlewspool/internal/election"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -20,13 +19,13 @@
 	if !c.mayRecordMachines() {
 		leader := c.registry.OwnerOf(election.LeaderKey)
 		if leader == "" || leader == c.settings.Name {
-			reply(fiber.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "no leader"})
+			reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "no leader"})
 			return
 		}
-		reply(fiber.StatusMisdirectedRequest, &protocol.ErrorResponse{Error: "not the leader", Owner: leader})
+		reply(http.StatusMisdirectedRequest, &protocol.ErrorResponse{Error: "not the leader", Owner: leader})
 		return
 	}
-	reply(fiber.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "being recorded"})
+	reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "being recorded"})
 	c.probeMachine(report)
 }
 
