--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -11,8 +11,8 @@
 // estimateReserve is by how much a run time may exceed its estimate, as a factor.
 const estimateReserve = 1.25
 
-// usefulBootFactor: a machine must be there for at least this many of its boot times from
-// its rental until the work is due, so that it is up for half of that time.
+// usefulBootFactor is how many of its boot times a machine needs between its rental and the
+// time at which the work is due, so that it is up for half of it.
 const usefulBootFactor = 2
 
 // spotDemand is what waits of spot jobs, against the capacity that could take it.
--- a/internal/federation/events.go
+++ b/internal/federation/events.go
@@ -5,15 +5,15 @@
 
 // Steps of a hand-over, at home and at the host.
 const (
-	stepLent      Step = "lent"
-	stepAccepted  Step = "accepted"
-	stepRefused   Step = "refused"
-	stepRunning   Step = "running"
-	stepReturned  Step = "back"
-	stepBorrowed  Step = "borrowed"
-	stepPermitted Step = "permitted"
-	stepRecalled  Step = "recalled"
-	stepEnded     Step = "ended by home"
+	StepLent      Step = "lent"
+	StepAccepted  Step = "accepted"
+	StepRefused   Step = "refused"
+	StepRunning   Step = "running"
+	StepReturned  Step = "back"
+	StepBorrowed  Step = "borrowed"
+	StepPermitted Step = "permitted"
+	StepRecalled  Step = "recalled"
+	StepEnded     Step = "ended by home"
 )
 
 // Event is one step of a hand-over, for people and for traces: the same lease has events
--- a/internal/federation/federation.go
+++ b/internal/federation/federation.go
@@ -39,15 +39,15 @@
 	WaitingChunks() []*WaitingChunk
 	// StartableCounter gives a function that counts, for each shard, the tasks of a borrowed
 	// job that would start now, on capacity that nothing of this cluster waits for.
-	StartableCounter() func(j *protocol.Job) []int
+	StartableCounter() func(job *protocol.Job) []int
 	// TotalCores are the cores of all machines.
 	TotalCores() float64
 	// PlaceJob chooses a shard for a job that comes in, or comes back.
-	PlaceJob(j *protocol.Job, rank int) int
+	PlaceJob(job *protocol.Job, rank int) int
 	// OrderLend asks the owner of a chunk to lend it.
-	OrderLend(o *shard.LendOrder)
+	OrderLend(order *shard.LendOrder)
 	// EachBorrowedJob lists the borrowed jobs of the shards that are owned here.
-	EachBorrowedJob(f func(p *shard.Shard, rec *shard.JobRecord, permit *remotelease.Permit))
+	EachBorrowedJob(visit func(owner *shard.Shard, record *shard.JobRecord, permit *remotelease.Permit))
 	// AnnounceChange tells the other controllers that a job's record changed.
 	AnnounceChange(id string)
 }
--- a/internal/federation/home_leases.go
+++ b/internal/federation/home_leases.go
@@ -18,6 +18,18 @@
 
 // This file follows the leases of this cluster's jobs at partners, as home's leader.
 
+// Why a chunk is taken back, or is about to be. The reasons are told to operators.
+const (
+	// ReasonTermExpired: no renewal was answered for so long that nothing of the lease can
+	// be left at the host.
+	ReasonTermExpired = "its term ran out"
+
+	reasonFinishedAtHost = "the partner gave it back"
+	reasonNotTaken       = "the partner did not take it in time"
+	reasonRefused        = "the partner refused it"
+	reasonNoPartner      = "it is no partner any more"
+)
+
 // lentLease is one lease of a chunk of ours.
 type lentLease struct {
 	key   remotelease.Key
@@ -101,7 +113,7 @@
 	if away.LeaderToken == b.fencingToken {
 		b.renewals.RecordIssued(key)
 		b.Counters.Lent++
-		b.recordEvent(key.JobID(b.settings.Cluster), stepLent, away.Reason)
+		b.recordEvent(key.JobID(b.settings.Cluster), StepLent, away.Reason)
 	} else {
 		lease.isAccepted = true // perhaps; its state tells
 	}
@@ -135,16 +147,16 @@
 	expired := b.renewals.IsExpired(lease.key, rules, now)
 	switch {
 	case lease.finishedAtHost:
-		b.takeBack(lease, "the partner gave it back")
+		b.takeBack(lease, reasonFinishedAtHost)
 	case lease.refusal != "" && expired:
 		b.takeBack(lease, lease.refusal)
 	case renewed && expired:
 		b.Counters.Lapsed++
 		slog.Info("federation: remote lease expired", "job", lease.key.Job, "lease", lease.key.Number,
 			"partner", lease.away.Partner, "silent", now-lastRenewal)
-		b.takeBack(lease, "its term ran out")
+		b.takeBack(lease, ReasonTermExpired)
 	case !renewed && now-lease.since > rules.Term:
-		b.takeBack(lease, "the partner did not take it in time")
+		b.takeBack(lease, reasonNotTaken)
 	case lease.mayHandOver(now):
 		b.handOver(lease, record)
 	case lease.isAccepted && shard.CountTasks(lease.done) > lease.storedDone && !lease.isSaving &&
@@ -170,7 +182,7 @@
 func (b *Broker) handOver(lease *lentLease, record *shard.JobRecord) {
 	p := b.partners[lease.away.Partner]
 	if p == nil {
-		lease.refusal = "it is no partner any more"
+		lease.refusal = reasonNoPartner
 		return
 	}
 	id := lease.key.JobID(b.settings.Cluster)
@@ -195,12 +207,12 @@
 		case http.StatusOK:
 			lease.isAccepted = true
 			b.Counters.Accepted++
-			b.recordEvent(id, stepAccepted, "")
+			b.recordEvent(id, StepAccepted, "")
 			b.applyState(lease, state)
 		case http.StatusBadRequest, http.StatusForbidden, http.StatusConflict:
-			lease.refusal = "the partner refused it"
+			lease.refusal = reasonRefused
 			b.Counters.Refused++
-			b.recordEvent(id, stepRefused, "")
+			b.recordEvent(id, StepRefused, "")
 			p.emptyOffers++
 		}
 	})
@@ -209,7 +221,7 @@
 // applyState takes what the host says of a lease.
 func (b *Broker) applyState(lease *lentLease, state *LeaseState) {
 	if lease.status != state.Status && state.Status == StatusRunning {
-		b.recordEvent(lease.key.JobID(b.settings.Cluster), stepRunning, "")
+		b.recordEvent(lease.key.JobID(b.settings.Cluster), StepRunning, "")
 	}
 	lease.status = state.Status
 	switch state.Status {
@@ -244,7 +256,9 @@
 	isConfirmed := lease.finishedAtHost
 	lease.isReturning = true
 	b.updateJobRecord(kvstore.PriorityNormal, job, func(record *shard.JobRecord) bool {
-		index := slices.IndexFunc(record.LentChunks, func(away shard.LentChunk) bool { return away.LoanNumber == lease.key.Number })
+		index := slices.IndexFunc(record.LentChunks, func(away shard.LentChunk) bool {
+			return away.LoanNumber == lease.key.Number
+		})
 		if index < 0 || b.lentLeases[lease.key] != lease {
 			return false
 		}
@@ -273,7 +287,7 @@
 	slog.Info("federation: remote lease returned", "job", job, "lease", lease.key.Number,
 		"partner", lease.away.Partner, "done", done, "tasks", lease.tasks, "reason", reason)
 	b.Counters.Back++
-	b.recordEvent(lease.key.JobID(b.settings.Cluster), stepReturned, reason)
+	b.recordEvent(lease.key.JobID(b.settings.Cluster), StepReturned, reason)
 	if done < lease.tasks {
 		// Not at once to the same partner, which has no capacity for it.
 		b.retryAfter[jobChunk{job, lease.away.Chunk}] = b.host.Now() + b.jitter(4*b.reportInterval())
@@ -339,7 +353,10 @@
 	request := &StatesRequest{}
 	for _, key := range sortedLeaseKeys(b.lentLeases) {
 		lease := b.lentLeases[key]
-		if lease.away.Partner != p.settings.Name || !lease.isAccepted || lease.isReturning || lease.finishedAtHost || len(leases) >= maxLeases/2 {
+		if len(leases) >= maxLeases/2 {
+			break
+		}
+		if lease.away.Partner != p.settings.Name || !lease.isAccepted || lease.isReturning || lease.finishedAtHost {
 			continue
 		}
 		leases = append(leases, lease)
--- a/internal/federation/host_leases.go
+++ b/internal/federation/host_leases.go
@@ -108,7 +108,7 @@
 			offer.until = b.host.Now() + 2*b.reportInterval() // held until it has started
 			b.Counters.Borrowed++
 			slog.Info("federation: remote lease accepted", "job", id, "tasks", record.Job.Tasks, "partner", record.Loan.HomeCluster)
-			b.recordEvent(id, stepBorrowed, "")
+			b.recordEvent(id, StepBorrowed, "")
 			b.host.AnnounceChange(id)
 			reply(http.StatusOK, &LeaseState{Status: StatusQueued}, 0)
 		},
--- a/internal/federation/host_renewals.go
+++ b/internal/federation/host_renewals.go
@@ -89,7 +89,7 @@
 			continue
 		}
 		if !lease.permit.IsValid(b.host.Now()) {
-			b.recordEvent(id, stepPermitted, "")
+			b.recordEvent(id, StepPermitted, "")
 		}
 		lease.permit.Renew(sentAt, lease.term)
 		lease.shard.PermitRenewed(id)
--- a/internal/federation/host_states.go
+++ b/internal/federation/host_states.go
@@ -146,9 +146,9 @@
 		if !ok {
 			return
 		}
-		step := stepRecalled
+		step := StepRecalled
 		if atOnce {
-			step = stepEnded
+			step = StepEnded
 		}
 		b.recordEvent(id, step, "")
 		b.host.AnnounceChange(id)
