--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -20,12 +20,6 @@
 	"curlewspool/internal/federation"
 )
 
-// What of an event makes a step a failed one.
-const (
-	stepRefused       = "refused"
-	reasonTermExpired = "its term ran out"
-)
-
 // idGenerator gives the spans of one trace ids that follow from the trace's id, so that
 // the same events give the same spans; see sdk.IDGenerator.
 type idGenerator struct {
@@ -104,7 +98,7 @@
 				attribute.String("cluster", step.Cluster),
 				attribute.String("controller", step.Host),
 				attribute.String("why", step.Reason)))
-		if step.Step == stepRefused || step.Reason == reasonTermExpired {
+		if step.Step == federation.StepRefused || step.Reason == federation.ReasonTermExpired {
 			span.SetStatus(codes.Error, step.Reason)
 		}
 		stepStart = timeOf(step)
