--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -144,13 +144,13 @@
 	a.scaleOut(state, now)
 }
 
-// IsDeleted tells whether the cloud has confirmed that the machine is deleted.
+// IsDeleted reports whether the cloud has confirmed that the machine is deleted.
 func (a *Autoscaler) IsDeleted(id string) bool {
 	_, deleted := a.deletedAt[id]
 	return deleted
 }
 
-// MayHaveRented tells whether the machine is known to have been rented, by this leader
+// MayHaveRented reports whether the machine is known to have been rented, by this leader
 // or, from the list while it booted, by an earlier one; or whether it may have been, by
 // a rental of this leader.
 func (a *Autoscaler) MayHaveRented(id string) bool {
@@ -160,7 +160,7 @@
 	return a.requestCount > 0 || len(a.unanswered) > 0
 }
 
-// HasOnDemandSurplus tells whether spot jobs meet their deadlines without the on-demand
+// HasOnDemandSurplus reports whether spot jobs meet their deadlines without the on-demand
 // machines that were rented. Such machines then take no more spot jobs and are returned
 // when they are empty.
 func (a *Autoscaler) HasOnDemandSurplus() bool { return a.onDemandSurplus }
--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -33,7 +33,7 @@
 	foundRunning bool
 }
 
-// isOverdue tells whether the boot takes longer than boots of the type usually do.
+// isOverdue reports whether the boot takes longer than boots of the type usually do.
 func (b *bootingMachine) isOverdue(machineType *protocol.MachineType, now time.Duration) bool {
 	return (now - b.requestedAt).Seconds() > overdueFactor*machineType.BootSeconds
 }
--- a/internal/autoscaler/offering.go
+++ b/internal/autoscaler/offering.go
@@ -71,7 +71,7 @@
 	return cheapest, !math.IsInf(lowest, 1)
 }
 
-// justifiesOnDemand tells whether an on-demand machine may be rented for the work: not
+// justifiesOnDemand reports whether an on-demand machine may be rented for the work: not
 // if it starts sooner where it waits, nor for a spot job if there is enough in all for
 // such jobs to be in time. (A gang may need its machines in one zone, which the sum does
 // not show: it would wait for ever.)
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -17,7 +17,7 @@
 const maxDeletions = 100
 
 // deleteMachines deletes up to maxDeletions machines in one request, with one request
-// under way at a time. deleted is told the machines that are gone and have records.
+// under way at a time. deleted is called with the machines that are gone and have records.
 func (a *Autoscaler) deleteMachines(
 	records map[string]*shard.MachineRecord, retiring map[string]bool, now time.Duration, deleted func([]string),
 ) {
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -73,7 +73,7 @@
 	return placed
 }
 
-// fits tells whether one more task of the job fits.
+// fits reports whether one more task of the job fits.
 func (c *freeCapacity) fits(job *protocol.Job) bool {
 	return c.cores+capacityTolerance >= job.Cores &&
 		c.gpus+capacityTolerance >= job.GPUs &&
--- a/internal/autoscaler/zones.go
+++ b/internal/autoscaler/zones.go
@@ -91,7 +91,7 @@
 	return slices.Compact(zones)
 }
 
-// mayRentIn tells whether the cloud has not refused some machine in the zone that a job
+// mayRentIn reports whether the cloud has not refused some machine in the zone that a job
 // may use.
 func (a *Autoscaler) mayRentIn(zone string, job *protocol.Job) bool {
 	for choice := range a.allowedOfferings(job) {
--- a/internal/dispatch/shard.go
+++ b/internal/dispatch/shard.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// isLighter tells whether a slot has less work than another shard's: Load; with equal
+// isLighter reports whether a slot has less work than another shard's: Load; with equal
 // work, fewer jobs: Ordering.
 func (s RankSlots) isLighter(other RankSlots, rank int) bool {
 	if s.Work[rank] != other.Work[rank] {
--- a/internal/faults/faults.go
+++ b/internal/faults/faults.go
@@ -43,7 +43,7 @@
 	maxCountedFailures = 3
 )
 
-// Attribution keeps what is held against the jobs and machines of one shard.
+// Attribution keeps the evidence against the jobs and machines of one shard.
 type Attribution struct {
 	priors   Priors
 	jobs     map[string]*suspect
@@ -54,9 +54,9 @@
 // suspect is a job or a machine with failures.
 type suspect struct {
 	pairs        map[string]*failurePair // by the other side's name
-	exonerated   bool                    // a job: some task of it has ended well
+	knownGood    bool                    // a job: some task of it has ended well
 	retainedOdds float64                 // evidence of pairs whose other side was forgotten
-	remoteOdds   float64                 // a job: what other shards hold against it
+	remoteOdds   float64                 // a job: the evidence of other shards
 	odds         float64                 // as last worked out
 }
 
@@ -103,8 +103,8 @@
 // RecordJobSuccess notes that some task of the job has ended well, on whatever machine:
 // it is not faulty, so all its failures speak against the machines.
 func (a *Attribution) RecordJobSuccess(job string) {
-	if entry := a.jobs[job]; entry != nil && !entry.exonerated {
-		entry.exonerated, a.stale = true, true
+	if entry := a.jobs[job]; entry != nil && !entry.knownGood {
+		entry.knownGood, a.stale = true, true
 	}
 }
 
@@ -154,8 +154,8 @@
 	a.stale = true
 }
 
-// InheritJobOdds takes over what the shard's previous owner held against a job. It counts
-// as the shard's own evidence from then on (see LocalJobOdds).
+// InheritJobOdds takes over the evidence of the shard's previous owner against a job, as log
+// odds. It counts as the shard's own evidence from then on (see LocalJobOdds).
 func (a *Attribution) InheritJobOdds(job string, odds float64) {
 	if odds > 0 {
 		entry := suspectFor(a.jobs, job)
@@ -163,12 +163,12 @@
 	}
 }
 
-// SetRemoteJobOdds sets what the job's other shards hold against it, as log odds.
+// SetRemoteJobOdds sets the evidence of the job's other shards against it, as log odds.
 func (a *Attribution) SetRemoteJobOdds(job string, odds float64) {
 	odds = clampLogOdds(odds)
 	entry := a.jobs[job]
-	isNews := entry == nil && odds > 0 || entry != nil && entry.remoteOdds != odds
-	if isNews {
+	isChanged := entry == nil && odds > 0 || entry != nil && entry.remoteOdds != odds
+	if isChanged {
 		suspectFor(a.jobs, job).remoteOdds, a.stale = odds, true
 	}
 }
@@ -186,10 +186,10 @@
 
 func clampLogOdds(odds float64) float64 { return min(max(odds, -maxLogOdds), maxLogOdds) }
 
-// totalOdds adds up all that is held against a suspect, of whose kind a share is faulty.
+// totalOdds adds up all evidence against a suspect, of whose kind a share is faulty.
 // The sum is in the order of names, so that it is rounded alike in every run.
 func (s *suspect) totalOdds(prior float64, against evidence) float64 {
-	if s.exonerated {
+	if s.knownGood {
 		return -maxLogOdds
 	}
 	total := logOdds(prior) + s.retainedOdds + s.remoteOdds
@@ -199,8 +199,8 @@
 	return total
 }
 
-// propagate works out the odds of all suspects, if they are stale: each pair tells each
-// side how well the other one explains it without that very pair.
+// propagate works out the odds of all suspects, if they are stale. The message of a pair to
+// one side is how well the other side explains it, without the evidence of that very pair.
 func (a *Attribution) propagate() {
 	if !a.stale {
 		return
@@ -211,8 +211,8 @@
 			pair.jobEvidence, pair.machineEvidence = 0, 0
 		}
 	}
-	// The sides take turns: told both at once, they would change places in each round
-	// where several jobs failed on the same machines.
+	// The sides take turns: updated both at once, their odds would swap in each round where
+	// several jobs failed on the same machines.
 	for range propagationRounds {
 		for _, machine := range a.machines {
 			machine.odds = machine.totalOdds(a.priors.FaultyMachine, againstMachine)
@@ -226,8 +226,8 @@
 	}
 }
 
-// propagateJob takes up what a job's machines explain of its failures, and tells them
-// what the job explains.
+// propagateJob updates the odds of a job by what its machines explain of its failures, and
+// the evidence against them by what the job explains.
 func (a *Attribution) propagateJob(job *suspect) {
 	for machine, pair := range job.pairs {
 		machineOdds := clampLogOdds(a.machines[machine].odds - pair.machineEvidence)
@@ -243,7 +243,7 @@
 // JobFaultProbability is how likely the job was submitted with a mistake.
 func (a *Attribution) JobFaultProbability(job string) float64 {
 	entry := a.jobs[job]
-	if entry == nil || entry.exonerated {
+	if entry == nil || entry.knownGood {
 		return 0
 	}
 	a.propagate()
@@ -260,18 +260,18 @@
 	return probability(entry.odds)
 }
 
-// LocalJobOdds is what this shard's failures hold against a job, as log odds, for the
+// LocalJobOdds is the evidence of this shard's failures against a job, as log odds, for the
 // owners of its other shards and for the next owner of this one.
 func (a *Attribution) LocalJobOdds(job string) float64 {
 	entry := a.jobs[job]
-	if entry == nil || entry.exonerated {
+	if entry == nil || entry.knownGood {
 		return 0
 	}
 	a.propagate()
 	return max(0, entry.odds-logOdds(a.priors.FaultyJob)-entry.remoteOdds)
 }
 
-// Suspects lists the jobs and machines that anything is held against, by name.
+// Suspects lists the jobs and machines with evidence against them, by name.
 func (a *Attribution) Suspects() (jobs, machines []string) {
 	return slices.Sorted(maps.Keys(a.jobs)), slices.Sorted(maps.Keys(a.machines))
 }
--- a/internal/federation/events.go
+++ b/internal/federation/events.go
@@ -1,6 +1,6 @@
 package federation
 
-// Step names a step of a hand-over. The names are told to operators.
+// Step names a step of a hand-over. Operators see the names.
 type Step string
 
 // Steps of a hand-over, at home and at the host.
--- a/internal/federation/federation.go
+++ b/internal/federation/federation.go
@@ -48,12 +48,12 @@
 	OrderLend(order *shard.LendOrder)
 	// EachBorrowedJob lists the borrowed jobs of the shards that are owned here.
 	EachBorrowedJob(visit func(owner *shard.Shard, record *shard.JobRecord, permit *remotelease.Permit))
-	// AnnounceChange tells the other controllers that a job's record changed.
+	// AnnounceChange notifies the other controllers that a job's record changed.
 	AnnounceChange(id string)
 }
 
 // PartnerClient reaches a partner's controller; the callee knows the caller by its
-// certificate. done is told the HTTP status; 0: no answer.
+// certificate. done is called with the HTTP status; 0: no answer.
 type PartnerClient interface {
 	CallPartner(partner, addr, path string, in, out any, timeout time.Duration, done func(status int))
 }
@@ -109,7 +109,7 @@
 	nextRenewalAt        time.Duration
 
 	emptyOffers int             // answers without any offer, in a row
-	ended       map[string]bool // leases that are over here, which the partner is to be told
+	ended       map[string]bool // leases that are over here, of which the partner is to be notified
 }
 
 // maxFinishedLeases is how many finished borrowed jobs are kept in memory; the store has
@@ -145,7 +145,7 @@
 	return b
 }
 
-// Reserved tells whether an id belongs to a borrowed job; such ids are not for users.
+// Reserved reports whether an id belongs to a borrowed job; such ids are not for users.
 func Reserved(id string) bool { return strings.HasPrefix(id, remotelease.JobIDPrefix) }
 
 // JobChanged takes a live job's record; nil: it is over.
--- a/internal/federation/home_leases.go
+++ b/internal/federation/home_leases.go
@@ -18,7 +18,7 @@
 
 // This file follows the leases of this cluster's jobs at partners, as home's leader.
 
-// Why a chunk is taken back, or is about to be. The reasons are told to operators.
+// Why a chunk is taken back, or is about to be. Operators see the reasons.
 const (
 	// ReasonTermExpired: no renewal was answered for so long that nothing of the lease can
 	// be left at the host.
@@ -30,7 +30,7 @@
 	reasonNoPartner      = "it is no partner any more"
 )
 
-// lentLease is one lease of a chunk of ours.
+// lentLease is the lease of a chunk of a job of this cluster.
 type lentLease struct {
 	key   remotelease.Key
 	away  shard.LentChunk
@@ -49,7 +49,7 @@
 	running int
 	done    [][2]int // by the lease's indices, as the host's store says
 
-	storedDone  int // of them, known to our store
+	storedDone  int // of them, known to this cluster's store
 	isSaving    bool
 	lastSavedAt time.Duration
 }
@@ -79,7 +79,7 @@
 	}
 }
 
-// stepLentLeases brings every lease of ours a step further.
+// stepLentLeases brings every lease of this cluster's jobs a step further.
 func (b *Broker) stepLentLeases(now time.Duration) {
 	live := map[remotelease.Key]bool{}
 	for _, job := range slices.Sorted(maps.Keys(b.lentJobs)) {
@@ -115,13 +115,13 @@
 		b.Counters.Lent++
 		b.recordEvent(key.JobID(b.settings.Cluster), StepLent, away.Reason)
 	} else {
-		lease.isAccepted = true // perhaps; its state tells
+		lease.isAccepted = true // perhaps; its state will show
 	}
 	return lease
 }
 
 // forgetEndedLeases drops the leases that are not live any more. The host of one that was
-// not given back, as its job was cancelled, is told before the term ends.
+// not given back, as its job was cancelled, is notified before the term ends.
 func (b *Broker) forgetEndedLeases(live map[remotelease.Key]bool) {
 	for key, lease := range b.lentLeases {
 		if live[key] {
@@ -165,7 +165,7 @@
 	}
 }
 
-// mayHandOver tells whether the host is to be asked to take the lease.
+// mayHandOver reports whether the host is to be asked to take the lease.
 func (l *lentLease) mayHandOver(now time.Duration) bool {
 	return !l.isAccepted && l.refusal == "" && !l.isHandingOver && now >= l.nextHandOverAt
 }
@@ -295,8 +295,8 @@
 	b.host.AnnounceChange(job)
 }
 
-// saveProgress notes in our store what the host finished, so that the loss of a host costs
-// little.
+// saveProgress notes in this cluster's store what the host finished, so that the loss of a
+// host costs little.
 func (b *Broker) saveProgress(lease *lentLease, now time.Duration) {
 	lease.isSaving, lease.lastSavedAt = true, now
 	saved := 0
@@ -315,8 +315,8 @@
 	})
 }
 
-// requestStates asks a partner for the state of our leases, and tells it which are over
-// here.
+// requestStates asks a partner for the state of the leases that it has, and notifies it of
+// those that are over here.
 func (b *Broker) requestStates(p *partner, now time.Duration) {
 	if p.isRequestingStates || now < p.nextStatesAt || len(b.lentLeases)+len(p.ended) == 0 {
 		return
@@ -374,7 +374,7 @@
 	return leases, request
 }
 
-// fitsAtHome tells whether a shard of ours could start all of a lease now.
+// fitsAtHome reports whether a shard of this cluster could start all of a lease now.
 func (b *Broker) fitsAtHome(lease *lentLease, startable func(*protocol.Job) []int) bool {
 	record := b.host.Job(lease.key.Job)
 	if record == nil {
--- a/internal/federation/home_offers.go
+++ b/internal/federation/home_offers.go
@@ -101,7 +101,7 @@
 	return append(kept, slices.Sorted(maps.Keys(b.lendOrders))...)
 }
 
-// useOffers orders the chunks that a partner offered capacity for to be lent. It tells
+// useOffers orders the chunks that a partner offered capacity for to be lent. It reports
 // whether there was any.
 func (b *Broker) useOffers(p *partner, candidates []lendCandidate, offers []Offer) bool {
 	hasOffers := false
--- a/internal/federation/home_renewals.go
+++ b/internal/federation/home_renewals.go
@@ -11,7 +11,7 @@
 
 // This file answers renewals, as home's leader.
 
-// AnswerRenewals tells a partner's controller which leases may go on.
+// AnswerRenewals answers a partner's controller which leases may go on.
 func (b *Broker) AnswerRenewals(from string, request *RenewalsRequest, reply Reply) {
 	if len(request.Leases) > maxLeases {
 		httpreply.Problem(reply, http.StatusBadRequest, "too many loans")
@@ -63,7 +63,7 @@
 const (
 	leaseOver      standing = iota // it does not stand
 	leaseHeld                      // the partner has it
-	leaseReturning                 // it is being taken back, or is over by the partner's own word
+	leaseReturning                 // it is being taken back, or the partner has reported its end
 )
 
 // leaseStanding looks a lease up in home's record.
--- a/internal/federation/host_leases.go
+++ b/internal/federation/host_leases.go
@@ -64,7 +64,7 @@
 	return key, invalidReason(&request.Job)
 }
 
-// stands tells whether an offer, which may be nil, still holds capacity for a lease.
+// stands reports whether an offer, which may be nil, still holds capacity for a lease.
 func (b *Broker) stands(offer *heldOffer, from string, request *LeaseRequest) bool {
 	return offer != nil && !offer.isTaken && offer.home == from && b.host.Now() <= offer.until &&
 		request.Job.Tasks <= offer.tasks && b.settings.Partner(from).Lends > 0
--- a/internal/federation/host_states.go
+++ b/internal/federation/host_states.go
@@ -10,10 +10,10 @@
 	"curlewspool/internal/shard"
 )
 
-// This file tells the states of borrowed jobs, as the host's leader.
+// This file answers questions for the states of borrowed jobs, as the host's leader.
 
-// maxStateRanges of done tasks are told of a running lease. An answer holds as many leases
-// as there are; the rest is told when the lease is over.
+// maxStateRanges of done tasks are reported of a running lease. An answer holds as many
+// leases as there are; the rest is reported when the lease is over.
 const maxStateRanges = 64
 
 // borrowedState is the state of a borrowed job that is live.
@@ -38,8 +38,8 @@
 	return state
 }
 
-// AnswerStates tells a home the state of its leases, and takes from it which are over or
-// wanted back.
+// AnswerStates answers a home the state of its leases, and flags those that it names as over
+// or wanted back.
 func (b *Broker) AnswerStates(from string, request *StatesRequest, reply Reply) {
 	if len(request.Leases) > maxLeases || len(request.End) > maxLeases || len(request.Recall) > maxLeases {
 		httpreply.Problem(reply, http.StatusBadRequest, "too many loans")
--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -147,7 +147,7 @@
 	return ""
 }
 
-// hasValidAmounts tells whether all amounts are numbers in a sensible range.
+// hasValidAmounts reports whether all amounts are numbers in a sensible range.
 func hasValidAmounts(job *protocol.Job) bool {
 	amounts := []float64{
 		job.Cores, job.GPUs, job.MemoryGB, job.ImageGB,
--- a/internal/federation/policy.go
+++ b/internal/federation/policy.go
@@ -32,7 +32,7 @@
 	return env.Seconds(3 * s.Deployment.Workers.Report)
 }
 
-// shouldLend tells whether a waiting chunk may and should go to a partner, and why: if it
+// shouldLend reports whether a waiting chunk may and should go to a partner, and why: if it
 // would start later here by more than the partner's ratio, or miss a deadline here and not
 // there. wall is the time of day in seconds.
 func shouldLend(
@@ -57,7 +57,7 @@
 	return "", false
 }
 
-// mayLend tells whether a waiting chunk is allowed to go to a partner.
+// mayLend reports whether a waiting chunk is allowed to go to a partner.
 func mayLend(w *WaitingChunk, partner *settings.Partner, team *settings.Team) bool {
 	job := &w.Record.Job
 	switch {
--- a/internal/federation/view.go
+++ b/internal/federation/view.go
@@ -2,7 +2,7 @@
 
 import "curlewspool/internal/shard"
 
-// View is what an operator is told of federation.
+// View is what operators see of federation.
 type View struct {
 	Cluster  string        `cbor:"cluster" json:"cluster"`
 	Lent     []RemoteChunk `cbor:"away" json:"away"`
@@ -39,7 +39,7 @@
 	RenewalsMissed int `metric:"renewals_missed"`
 }
 
-// Describe tells an operator what is lent and borrowed, and what happened of late.
+// Describe lists what is lent and borrowed, and the latest events.
 func (b *Broker) Describe() *View {
 	view := &View{
 		Cluster:  b.settings.Cluster,
--- a/internal/remotelease/key.go
+++ b/internal/remotelease/key.go
@@ -23,7 +23,7 @@
 
 var clusterName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,19}$`)
 
-// IsValidClusterName tells whether a cluster may have this name.
+// IsValidClusterName reports whether a cluster may have this name.
 func IsValidClusterName(name string) bool { return clusterName.MatchString(name) }
 
 // Key names a lease at home: one chunk of a job under a number that grows with each lease
--- a/internal/remotelease/remotelease.go
+++ b/internal/remotelease/remotelease.go
@@ -25,7 +25,7 @@
 }
 
 // MaxTerm is the longest term under which every task is gone within the given bound of a
-// cancellation, though the host cannot be told of it. 0: there is none.
+// cancellation, though the host cannot be notified of it. 0: there is none.
 func MaxTerm(cancelBound, machineLease time.Duration, clockDrift float64) time.Duration {
 	bound := float64(cancelBound - machineLease - machineLease/100)
 	return max(0, time.Duration(bound/(1+4*clockDrift))*9/10-machineLease/100)
@@ -33,7 +33,7 @@
 
 // Permit is what a controller at the host knows of one lease: until when it may let a
 // machine go on. A process starts without one: its clock says nothing of what an earlier
-// process was told.
+// process was permitted.
 type Permit struct{ until time.Duration }
 
 // Renew notes the answer "hold" to a question sent at the given time.
@@ -42,7 +42,7 @@
 // Revoke ends it at once.
 func (p *Permit) Revoke() { p.until = 0 }
 
-// IsValid tells whether a machine may be told to go on, or to start.
+// IsValid reports whether a machine may be ordered to go on, or to start.
 func (p *Permit) IsValid(now time.Duration) bool { return now < p.until }
 
 // Remaining is how long it lasts.
--- a/internal/remotelease/renewals.go
+++ b/internal/remotelease/renewals.go
@@ -43,7 +43,7 @@
 	return at, ok
 }
 
-// IsExpired tells whether nothing of the lease can be left at the host. After this is
+// IsExpired reports whether nothing of the lease can be left at the host. After this is
 // acted on, the lease must never be renewed again: it is gone from the record that answers
 // are given by.
 func (r *Renewals) IsExpired(key Key, rules Rules, now time.Duration) bool {
--- a/internal/userapi/replies.go
+++ b/internal/userapi/replies.go
@@ -61,7 +61,7 @@
 	return true
 }
 
-// finishedState is what users are told of a finished job.
+// finishedState is the answer to a question for a finished job.
 func finishedState(job string, outcome shard.FinalRecord) *protocol.JobState {
 	state := &protocol.JobState{ID: job, Status: outcome.Status, CancelledBy: outcome.CancelledWith}
 	if outcome.Status == protocol.JobDone {
@@ -71,7 +71,7 @@
 	return state
 }
 
-// liveState is what users are told of a live job.
+// liveState is the answer to a question for a live job.
 func (s *Service) liveState(job string) *protocol.JobState {
 	counts := s.host.JobProgress(job)
 	state := &protocol.JobState{ID: job, Status: protocol.JobPending, Done: &counts.Done, Running: &counts.Running}
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -120,7 +120,7 @@
 	s.replyKnownOr(job, reply, func() { httpreply.Problem(reply, status, err.Error()) })
 }
 
-// isOverloaded tells whether a submission would wait for the store for longer than its
+// isOverloaded reports whether a submission would wait for the store for longer than its
 // user waits for the answer.
 func (s *Service) isOverloaded() bool {
 	return float64(s.host.Store().QueuedWrites()) > userPatienceSeconds*s.host.Settings().Deployment.State.WriteRPS
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -31,18 +31,18 @@
 	JobProgress(id string) TaskCounts
 	// PlanShards asks the leader to place the job.
 	PlanShards(job *protocol.Job, done func(placement dispatch.Placement))
-	// AnnounceChange tells the other controllers that a job's record changed.
+	// AnnounceChange notifies the other controllers that a job's record changed.
 	AnnounceChange(id string)
-	// AnnounceCancelled tells them that a job's cancellation is stored, and with which
+	// AnnounceCancelled notifies them that a job's cancellation is stored, and with which
 	// other job it was cancelled, if any.
 	AnnounceCancelled(id, cause string)
-	// IsReserved tells whether no user may use an id.
+	// IsReserved reports whether no user may use an id.
 	IsReserved(id string) bool
 	// RemoteTasks says which of the job's tasks are at partner clusters.
 	RemoteTasks(id string) []protocol.RemoteTasks
 	// Dependencies says which jobs wait for which.
 	Dependencies() *dependency.Graph
-	// SupportsDependencies tells whether every reachable controller understands jobs that
+	// SupportsDependencies reports whether every reachable controller understands jobs that
 	// need others.
 	SupportsDependencies() bool
 }
@@ -102,7 +102,7 @@
 }
 
 // cancellation is a job of which this controller learned at the given time that it is
-// cancelled: before that it told nobody so.
+// cancelled: before that it reported the job to nobody as cancelled.
 type cancellation struct {
 	job       string
 	learnedAt time.Duration
@@ -136,7 +136,7 @@
 	return jobs, true
 }
 
-// isLive tells whether the cache has the job. A job whose record cannot be decoded is
+// isLive reports whether the cache has the job. A job whose record cannot be decoded is
 // known all the same, and can be cancelled; its users would else get no answer for ever.
 func (s *Service) isLive(job string) bool {
 	_, cached := s.host.Store().Get(shard.JobKey(job))
