--- a/internal/federation/home_leases.go
+++ b/internal/federation/home_leases.go
@@ -18,7 +18,19 @@
 
 // This file follows the leases of this cluster's jobs at partners, as home's leader.
 
-// lentLease is one lease of a chunk of ours.
+// Why a chunk is taken back, or is about to be. Operators see the reasons.
+const (
+	// ReasonTermExpired: no renewal was answered for so long that nothing of the lease can
+	// be left at the host.
+	ReasonTermExpired = "its term ran out"
+
+	reasonFinishedAtHost = "the partner gave it back"
+	reasonNotTaken       = "the partner did not take it in time"
+	reasonRefused        = "the partner refused it"
+	reasonNoPartner      = "it is no partner any more"
+)
+
+// lentLease is the lease of a chunk of a job of this cluster.
 type lentLease struct {
 	key   remotelease.Key
 	away  shard.LentChunk
@@ -37,7 +49,7 @@
 	running int
 	done    [][2]int // by the lease's indices, as the host's store says
 
-	storedDone  int // of them, known to our store
+	storedDone  int // of them, known to this cluster's store
 	isSaving    bool
 	lastSavedAt time.Duration
 }
@@ -67,7 +79,7 @@
 	}
 }
 
-// stepLentLeases brings every lease of ours a step further.
+// stepLentLeases brings every lease of this cluster's jobs a step further.
 func (b *Broker) stepLentLeases(now time.Duration) {
 	live := map[remotelease.Key]bool{}
 	for _, job := range slices.Sorted(maps.Keys(b.lentJobs)) {
@@ -101,15 +113,15 @@
 	if away.LeaderToken == b.fencingToken {
 		b.renewals.RecordIssued(key)
 		b.Counters.Lent++
-		b.recordEvent(key.JobID(b.settings.Cluster), stepLent, away.Reason)
+		b.recordEvent(key.JobID(b.settings.Cluster), StepLent, away.Reason)
 	} else {
-		lease.isAccepted = true // perhaps; its state tells
+		lease.isAccepted = true // perhaps; its state will show
 	}
 	return lease
 }
 
 // forgetEndedLeases drops the leases that are not live any more. The host of one that was
-// not given back, as its job was cancelled, is told before the term ends.
+// not given back, as its job was cancelled, is notified before the term ends.
 func (b *Broker) forgetEndedLeases(live map[remotelease.Key]bool) {
 	for key, lease := range b.lentLeases {
 		if live[key] {
@@ -135,16 +147,16 @@
 	expired := b.renewals.IsExpired(lease.key, rules, now)
 	switch {
 	case lease.finishedAtHost:
-		b.takeBack(lease, "the partner gave it back")
+		b.takeBack(lease, reasonFinishedAtHost)
 	case lease.refusal != "" && expired:
 		b.takeBack(lease, lease.refusal)
 	case renewed && expired:
 		b.Counters.Lapsed++
 		slog.Info("federation: remote lease expired", "job", lease.key.Job, "lease", lease.key.Number,
 			"partner", lease.away.Partner, "silent", now-lastRenewal)
-		b.takeBack(lease, "its term ran out")
+		b.takeBack(lease, ReasonTermExpired)
 	case !renewed && now-lease.since > rules.Term:
-		b.takeBack(lease, "the partner did not take it in time")
+		b.takeBack(lease, reasonNotTaken)
 	case lease.mayHandOver(now):
 		b.handOver(lease, record)
 	case lease.isAccepted && shard.CountTasks(lease.done) > lease.storedDone && !lease.isSaving &&
@@ -153,7 +165,7 @@
 	}
 }
 
-// mayHandOver tells whether the host is to be asked to take the lease.
+// mayHandOver reports whether the host is to be asked to take the lease.
 func (l *lentLease) mayHandOver(now time.Duration) bool {
 	return !l.isAccepted && l.refusal == "" && !l.isHandingOver && now >= l.nextHandOverAt
 }
@@ -170,7 +182,7 @@
 func (b *Broker) handOver(lease *lentLease, record *shard.JobRecord) {
 	p := b.partners[lease.away.Partner]
 	if p == nil {
-		lease.refusal = "it is no partner any more"
+		lease.refusal = reasonNoPartner
 		return
 	}
 	id := lease.key.JobID(b.settings.Cluster)
@@ -195,12 +207,12 @@
 		case http.StatusOK:
 			lease.isAccepted = true
 			b.Counters.Accepted++
-			b.recordEvent(id, stepAccepted, "")
+			b.recordEvent(id, StepAccepted, "")
 			b.applyState(lease, state)
 		case http.StatusBadRequest, http.StatusForbidden, http.StatusConflict:
-			lease.refusal = "the partner refused it"
+			lease.refusal = reasonRefused
 			b.Counters.Refused++
-			b.recordEvent(id, stepRefused, "")
+			b.recordEvent(id, StepRefused, "")
 			p.emptyOffers++
 		}
 	})
@@ -209,7 +221,7 @@
 // applyState takes what the host says of a lease.
 func (b *Broker) applyState(lease *lentLease, state *LeaseState) {
 	if lease.status != state.Status && state.Status == StatusRunning {
-		b.recordEvent(lease.key.JobID(b.settings.Cluster), stepRunning, "")
+		b.recordEvent(lease.key.JobID(b.settings.Cluster), StepRunning, "")
 	}
 	lease.status = state.Status
 	switch state.Status {
@@ -244,7 +256,9 @@
 	isConfirmed := lease.finishedAtHost
 	lease.isReturning = true
 	b.updateJobRecord(kvstore.PriorityNormal, job, func(record *shard.JobRecord) bool {
-		index := slices.IndexFunc(record.LentChunks, func(away shard.LentChunk) bool { return away.LoanNumber == lease.key.Number })
+		index := slices.IndexFunc(record.LentChunks, func(away shard.LentChunk) bool {
+			return away.LoanNumber == lease.key.Number
+		})
 		if index < 0 || b.lentLeases[lease.key] != lease {
 			return false
 		}
@@ -273,7 +287,7 @@
 	slog.Info("federation: remote lease returned", "job", job, "lease", lease.key.Number,
 		"partner", lease.away.Partner, "done", done, "tasks", lease.tasks, "reason", reason)
 	b.Counters.Back++
-	b.recordEvent(lease.key.JobID(b.settings.Cluster), stepReturned, reason)
+	b.recordEvent(lease.key.JobID(b.settings.Cluster), StepReturned, reason)
 	if done < lease.tasks {
 		// Not at once to the same partner, which has no capacity for it.
 		b.retryAfter[jobChunk{job, lease.away.Chunk}] = b.host.Now() + b.jitter(4*b.reportInterval())
@@ -281,8 +295,8 @@
 	b.host.AnnounceChange(job)
 }
 
-// saveProgress notes in our store what the host finished, so that the loss of a host costs
-// little.
+// saveProgress notes in this cluster's store what the host finished, so that the loss of a
+// host costs little.
 func (b *Broker) saveProgress(lease *lentLease, now time.Duration) {
 	lease.isSaving, lease.lastSavedAt = true, now
 	saved := 0
@@ -301,8 +315,8 @@
 	})
 }
 
-// requestStates asks a partner for the state of our leases, and tells it which are over
-// here.
+// requestStates asks a partner for the state of the leases that it has, and notifies it of
+// those that are over here.
 func (b *Broker) requestStates(p *partner, now time.Duration) {
 	if p.isRequestingStates || now < p.nextStatesAt || len(b.lentLeases)+len(p.ended) == 0 {
 		return
@@ -339,7 +353,10 @@
 	request := &StatesRequest{}
 	for _, key := range sortedLeaseKeys(b.lentLeases) {
 		lease := b.lentLeases[key]
-		if lease.away.Partner != p.settings.Name || !lease.isAccepted || lease.isReturning || lease.finishedAtHost || len(leases) >= maxLeases/2 {
+		if len(leases) >= maxLeases/2 {
+			break
+		}
+		if lease.away.Partner != p.settings.Name || !lease.isAccepted || lease.isReturning || lease.finishedAtHost {
 			continue
 		}
 		leases = append(leases, lease)
@@ -357,7 +374,7 @@
 	return leases, request
 }
 
-// fitsAtHome tells whether a shard of ours could start all of a lease now.
+// fitsAtHome reports whether a shard of this cluster could start all of a lease now.
 func (b *Broker) fitsAtHome(lease *lentLease, startable func(*protocol.Job) []int) bool {
 	record := b.host.Job(lease.key.Job)
 	if record == nil {
