--- a/internal/shard/arraypreemption.go
+++ b/internal/shard/arraypreemption.go
@@ -232,7 +232,7 @@
 			break
 		}
 		victim := &victims[i]
-		a.shard.stopAttempt(a.shard.Jobs[victim.attempt.Job], &victim.placement, "preempted by "+spec.ID)
+		a.shard.preemptAttempt(&victim.placement, spec)
 		shortage -= victim.gain
 		preempted += victim.spec.Cores
 		count++
--- a/internal/shard/arraypreemption_test.go
+++ b/internal/shard/arraypreemption_test.go
@@ -7,18 +7,6 @@
 	"curlewspool/internal/protocol"
 )
 
-// headroomController knows large jobs seen lately, and the jobs' own deadlines.
-type headroomController struct {
-	*fakeController
-	largeJobs map[string]LargeJob
-}
-
-func (h *headroomController) LargeJobs() map[string]LargeJob { return h.largeJobs }
-
-func (h *headroomController) Deadlines(spec *protocol.Job) []float64 {
-	return []float64{spec.Deadline}
-}
-
 // Found on a day of late boots: 16,800 tasks of lower priority were preempted in three
 // minutes on machines that are kept as headroom for gangs. An array may not start there,
 // the preempted tasks did, and were preempted again.
@@ -37,7 +25,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, shard := newShardWithQueuedJob(t)
-			shard.controller = &headroomController{shard.controller.(*fakeController), test.large}
+			shard.controller = newHeadroomController(shard, test.large)
 			machine := shard.Machines["i-1"]
 			shard.UpdateJob("wk-1", nil, 0)
 			shard.UpdateJob("wk-2", arrayRecord(protocol.Job{
@@ -74,7 +62,7 @@
 // may run on spot instances.
 func arrayRecord(spec protocol.Job) *JobRecord {
 	spec.Shape, spec.Cores, spec.AllowSpot = protocol.ShapeArray, 1, true
-	return &JobRecord{Job: spec, ChunkSize: spec.Tasks, ChunkShards: []int{0}, AcceptedAt: 1_700_000_000}
+	return &JobRecord{Job: spec, ChunkSize: spec.Tasks, ChunkShards: []int{0}, AcceptedAt: testTimeOfDay}
 }
 
 func TestSortVictims(t *testing.T) {
--- a/internal/shard/cost.go
+++ b/internal/shard/cost.go
@@ -75,7 +75,7 @@
 func (s *Shard) idleCostCause(machine *Machine, now time.Duration) string {
 	isSilent := now-machine.LastContact > 2*s.reportInterval()
 	switch {
-	case machine.retireReason != "" || machine.draining || machine.PreemptionNoticed:
+	case machine.isRetiring() || machine.draining || machine.PreemptionNoticed:
 		return CostReturning
 	case machine.suspect || !machine.Reconciled || !machine.IsReachable() || isSilent:
 		return CostSuspect
--- /dev/null
+++ b/internal/shard/cost_test.go
@@ -0,0 +1,57 @@
+package shard
+
+import (
+	"testing"
+	"time"
+
+	"curlewspool/internal/protocol"
+)
+
+// pricedController is a fake controller whose machines cost 4 an hour, 1 for each core.
+type pricedController struct{ *fakeController }
+
+func (c *pricedController) MachineType(name string) *protocol.MachineType {
+	machineType := *c.fakeController.MachineType(name)
+	machineType.OnDemandPrice = 4
+	return &machineType
+}
+
+// Of 4 cores, two have a task that has not begun.
+func TestAddCost(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		change func(machine *Machine)
+		want   CostByCause
+	}{
+		{"tasks starting", func(*Machine) {}, CostByCause{CostStarting: 2, CostIdle: 2}},
+		{"tasks running", func(machine *Machine) {
+			for _, attempt := range machine.Attempts {
+				attempt.StartedAt = time.Second
+			}
+		}, CostByCause{CostRunning: 2, CostIdle: 2}},
+		{"tasks stopping", func(machine *Machine) {
+			for _, attempt := range machine.Attempts {
+				attempt.StopRequested = true
+			}
+		}, CostByCause{CostStopping: 2, CostIdle: 2}},
+		{"reserved for the head", func(machine *Machine) { machine.reservation = &freeCapacity{} },
+			CostByCause{CostStarting: 2, CostReserved: 2}},
+		{"suspect and reserved", func(machine *Machine) { machine.suspect, machine.reservation = true, &freeCapacity{} },
+			CostByCause{CostStarting: 2, CostSuspect: 2}},
+		{"silent", func(machine *Machine) { machine.LastContact = 0 },
+			CostByCause{CostStarting: 2, CostSuspect: 2}},
+		{"being returned", func(machine *Machine) { machine.retireReason = retireIdle },
+			CostByCause{CostStarting: 2, CostReturning: 2}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, shard := newShardWithQueuedJob(t)
+			shard.controller = &pricedController{shard.controller.(*fakeController)}
+			test.change(shard.Machines["i-1"])
+			total := CostByCause{}
+			shard.AddCost(time.Hour, total)
+			if total.String() != test.want.String() {
+				t.Errorf("costs %v, want %v", total, test.want)
+			}
+		})
+	}
+}
--- a/internal/shard/freecapacity.go
+++ b/internal/shard/freecapacity.go
@@ -95,7 +95,7 @@
 	switch {
 	case !machine.Reconciled || !machine.IsReachable() || machine.Incarnation == 0:
 		return false
-	case machine.handingOver || machine.draining || machine.retireReason != "" || machine.PreemptionNoticed:
+	case machine.handingOver || machine.draining || machine.isRetiring() || machine.PreemptionNoticed:
 		return false
 	case now < machine.lentUntil || now < machine.fullUntil:
 		return false
--- /dev/null
+++ b/internal/shard/headroom_test.go
@@ -0,0 +1,103 @@
+package shard
+
+import (
+	"testing"
+	"time"
+
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
+)
+
+// headroomController is a fake controller that knows large jobs seen lately, and the jobs'
+// own deadlines.
+type headroomController struct {
+	*fakeController
+	largeJobs map[string]LargeJob
+}
+
+// newHeadroomController wraps the fake controller of a shard.
+func newHeadroomController(shard *Shard, largeJobs map[string]LargeJob) *headroomController {
+	return &headroomController{shard.controller.(*fakeController), largeJobs}
+}
+
+func (c *headroomController) LargeJobs() map[string]LargeJob { return c.largeJobs }
+
+func (c *headroomController) Deadlines(spec *protocol.Job) []float64 {
+	if spec.Deadline == 0 {
+		return nil
+	}
+	return []float64{spec.Deadline}
+}
+
+func TestHeadroomBlocks(t *testing.T) {
+	large := protocol.Job{Class: "g", Shape: protocol.ShapeGang, Tasks: 2, Cores: 4, Priority: 2, AllowSpot: true}
+	oneCore := protocol.Job{Cores: 1}
+	for _, test := range []struct {
+		name   string
+		large  protocol.Job
+		seenAt time.Duration
+		spec   protocol.Job
+		change func(free *freeCapacity)
+		want   bool
+	}{
+		{"machine free for the large job", large, time.Minute, oneCore, nil, true},
+		{"large job seen long ago", large, -time.Hour, oneCore, nil, false},
+		{"job of a higher priority", large, time.Minute, protocol.Job{Cores: 1, Priority: 3}, nil, false},
+		{"job as large as half of it", large, time.Minute, protocol.Job{Cores: 2}, nil, false},
+		{"half of the machine is enough", protocol.Job{Cores: 2, Priority: 2}, time.Minute, protocol.Job{Cores: 0.5},
+			func(free *freeCapacity) { free.cores = 2 }, false},
+		{"the large job leaves enough", protocol.Job{Cores: 3, Priority: 2}, time.Minute, oneCore, nil, false},
+		{"job that can be preempted without loss", large, time.Minute, protocol.Job{Cores: 1, CheckpointInterval: 10}, nil, false},
+		{"job that saves too slowly", large, time.Minute, protocol.Job{Cores: 1, CheckpointInterval: 10, CheckpointDuration: 5}, nil, true},
+		{"large job could not start now", large, time.Minute, oneCore, func(free *freeCapacity) { free.cores = 3 }, false},
+		{"large job could after a reclaim", large, time.Minute, oneCore, func(free *freeCapacity) {
+			free.cores, free.reclaimable.cores = 3, 1
+		}, true},
+		{"spot instance", large, time.Minute, oneCore, func(free *freeCapacity) { free.machine.Spot = true }, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, shard := newShardWithQueuedJob(t)
+			shard.controller.Settings().Deployment.Objectives = []settings.Objective{{Kind: objectiveWait, Class: "g", Within: 6}}
+			controller := newHeadroomController(shard, map[string]LargeJob{
+				"g": {Job: test.large, LastSeen: test.seenAt},
+			})
+			free := testCapacity("a", 4)
+			free.memory = 16
+			free.machineType = controller.MachineType("small")
+			if test.change != nil {
+				test.change(free)
+			}
+			if blocks := headroomBlocks(controller, free, &test.spec); blocks != test.want {
+				t.Errorf("blocks: %v, want %v", blocks, test.want)
+			}
+		})
+	}
+}
+
+// A job of which nothing starts for long is not blocked any more: no machine comes for it.
+func TestHeadroomYieldsToStarvedJob(t *testing.T) {
+	_, shard := newShardWithQueuedJob(t)
+	now := shard.controller.Now()
+	shard.controller = newHeadroomController(shard, map[string]LargeJob{
+		"g": {Job: protocol.Job{Cores: 4, Priority: 2}, LastSeen: now},
+	})
+	free := testCapacity("a", 4)
+	free.memory = 16
+	free.machineType = shard.controller.MachineType("small")
+	job := newQueuedJob(arrayRecord(protocol.Job{ID: "wk-2", Tasks: 1}), 4, now)
+	bootTimeout := time.Duration(free.machineType.BootSeconds*shard.controller.Settings().Rent.LateBoots) * time.Second
+	for _, test := range []struct {
+		name   string
+		waited time.Duration
+		want   bool
+	}{
+		{"a machine may still come", bootTimeout, true},
+		{"no machine came", bootTimeout + time.Second, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if blocks := shard.headroomBlocks(free, job, now+test.waited); blocks != test.want {
+				t.Errorf("blocks: %v, want %v", blocks, test.want)
+			}
+		})
+	}
+}
--- a/internal/shard/placement.go
+++ b/internal/shard/placement.go
@@ -98,7 +98,7 @@
 	report := s.controller.Settings().Deployment.Workers.Report
 	switch {
 	case !spec.AllowSpot:
-	case !free.machine.Spot && !free.machine.record.Owned:
+	case free.machine.isRented():
 		cost += rentedUseCost * report
 	case free.machine.Spot && spec.CheckpointInterval <= 0:
 		cost += spotLossShare * spec.Estimate
--- a/internal/shard/preemption.go
+++ b/internal/shard/preemption.go
@@ -130,7 +130,7 @@
 		for _, victim := range plan.victims {
 			hasVictims = true
 			if !victim.attempt.StopRequested {
-				s.stopAttempt(s.Jobs[victim.attempt.Job], victim, "preempted by "+spec.ID)
+				s.preemptAttempt(victim, spec)
 			}
 		}
 		plan.capacity.reserve(now, resources{})
@@ -138,6 +138,11 @@
 	return hasVictims
 }
 
+// preemptAttempt stops an attempt, and all of its gang, for another job.
+func (s *Shard) preemptAttempt(victim *placement, beneficiary *protocol.Job) {
+	s.stopAttempt(s.Jobs[victim.attempt.Job], victim, "preempted by "+beneficiary.ID)
+}
+
 // preemptionCost is how many core-seconds preempting an attempt costs: those of saving its
 // checkpoint or, if it saves none, all that it has done.
 func preemptionCost(attempt *agent.Attempt, spec *protocol.Job, now time.Duration) float64 {
--- a/internal/shard/reservation_test.go
+++ b/internal/shard/reservation_test.go
@@ -7,6 +7,7 @@
 
 	"curlewspool/internal/agent"
 	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
 )
 
 // testCapacity is a machine of a zone with so many cores free.
@@ -108,3 +109,39 @@
 		t.Errorf("reserved %v from %v, %v cores spare, want 2 from 1h", free.isReserved, free.reservedFrom, free.spare.cores)
 	}
 }
+
+func TestMissesStartTarget(t *testing.T) {
+	waitWithin := func(seconds float64) []settings.Objective {
+		return []settings.Objective{{Kind: objectiveWait, Class: "c", Within: seconds}}
+	}
+	const now = time.Minute
+	for _, test := range []struct {
+		name       string
+		objectives []settings.Objective
+		deadline   float64 // seconds; 0: none
+		startsIn   time.Duration
+		want       bool
+	}{
+		{"no target, short wait", nil, 0, 10 * time.Second, false},
+		{"no target, longer than half of its run time", nil, 0, 11 * time.Second, true},
+		{"wait within the objective", waitWithin(20), 0, 15 * time.Second, false},
+		{"wait beyond the objective", waitWithin(14), 0, 15 * time.Second, true},
+		{"next preemption would be too late", waitWithin(4), 0, time.Second, true},
+		{"starts at once", waitWithin(4), 0, 0, false},
+		{"before the deadline", nil, 40, 20 * time.Second, false},
+		{"after the deadline", nil, 39, 20 * time.Second, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, shard := newShardWithQueuedJob(t)
+			shard.controller = newHeadroomController(shard, nil)
+			shard.controller.Settings().Deployment.Objectives = test.objectives
+			// A job of a lower priority is placed that takes 3 s to save its checkpoint.
+			shard.Jobs["wk-1"].Record.Job.CheckpointDuration = 3
+			spec := protocol.Job{ID: "wk-2", Class: "c", Tasks: 1, Estimate: 20, Priority: 1, Deadline: test.deadline}
+			job := newQueuedJob(arrayRecord(spec), 4, now)
+			if misses := shard.missesStartTarget(job, now+test.startsIn, now, 0); misses != test.want {
+				t.Errorf("misses its target: %v, want %v", misses, test.want)
+			}
+		})
+	}
+}
--- a/internal/shard/schedule.go
+++ b/internal/shard/schedule.go
@@ -1,12 +1,16 @@
 package shard
 
-import (
-	"time"
-)
+import "time"
 
 // Schedule is a scheduling pass: it starts the head of the queue and everything that does
 // not delay it (EASY backfilling; paper, section 4, "Local-Scheduler"), and preempts for
-// arrays that would be late.
+// arrays that would be late. The decisions are in files of their own:
+//   - which jobs may start, in which order: queue.go, score.go, quota.go
+//   - what is free, and where tasks are placed: freecapacity.go, placement.go
+//   - what is kept free, for the head and for large jobs: reservation.go, backfill.go,
+//     headroom.go
+//   - what is stopped for others: preemption.go, arraypreemption.go
+//   - what failures say of jobs and machines: suspects.go
 func (s *Shard) Schedule() {
 	now := s.controller.Now()
 	s.lastPassAt, s.needsPass = now, false
--- a/internal/shard/suspects.go
+++ b/internal/shard/suspects.go
@@ -144,7 +144,7 @@
 		slog.Info("shard: machine suspicion changed", "shard", s.ID, "machine", machine.ID, "suspect", isSuspect, "probability", probability)
 	}
 	if probability >= s.controller.Settings().Blame.Return {
-		s.retireMachine(machine, "faulty")
+		s.retireMachine(machine, retireFaulty)
 	}
 }
 
