--- a/cmd/curlewctl/look.go
+++ b/cmd/curlewctl/look.go
@@ -139,7 +139,7 @@
 			ch <- prometheus.MustNewConstHistogram(submitDesc, all, h.Sum, upTo, a, name)
 		}
 		for cause, v := range s.Spent {
-			ch <- prometheus.MustNewConstMetric(spentDesc, prometheus.CounterValue, v, a, cause)
+			ch <- prometheus.MustNewConstMetric(spentDesc, prometheus.CounterValue, v, a, string(cause))
 		}
 		gauge(busyDesc, s.PeakLoad.StoreRequests, a, "state_requests")
 		gauge(busyDesc, s.PeakLoad.StoreMutations, a, "state_changes")
--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -20,8 +20,8 @@
 
 // Causes of cost, as keys of shard.CostByCause.
 const (
-	costOfBoot    = "boot"
-	costOfOverdue = "overdue"
+	costOfBoot    shard.CostCause = "boot"
+	costOfOverdue shard.CostCause = "overdue"
 )
 
 // bootingMachine is a machine that was rented and has no record yet.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,13 +34,22 @@
 // Limited tells whether the team has a limit.
 func (t *Team) Limited() bool { return t.CoresMax > 0 || t.GPUsMax > 0 }
 
-// Objective is an aim on starting and finishing.
+// ObjectiveKind is what a service-level objective is on.
+type ObjectiveKind string
+
+// Kinds of service-level objectives.
+const (
+	ObjectiveWait     ObjectiveKind = "wait"     // the time until a job starts
+	ObjectiveFinished ObjectiveKind = "finished" // the time until a job is done
+)
+
+// Objective is a service-level objective of a job class.
 type Objective struct {
-	Kind   string  `toml:"kind"`
-	Class  string  `toml:"class"`
-	Within float64 `toml:"within_s"`
-	Share  float64 `toml:"share"`
-	Times  float64 `toml:"times"`
+	Kind   ObjectiveKind `toml:"kind"`
+	Class  string        `toml:"class"`
+	Within float64       `toml:"within_s"`
+	Share  float64       `toml:"share"`
+	Times  float64       `toml:"times"`
 }
 
 // Platform is the file the platform hands over. Unknown fields are ignored.
@@ -360,7 +369,7 @@
 func (p *Platform) Deadlines(class string) []float64 {
 	var out []float64
 	for _, o := range p.Deployment.Objectives {
-		if o.Class == class && o.Kind == "finished" && o.Within > 0 {
+		if o.Class == class && o.Kind == ObjectiveFinished && o.Within > 0 {
 			out = append(out, o.Within)
 		}
 	}
--- a/internal/shard/cost.go
+++ b/internal/shard/cost.go
@@ -11,9 +11,12 @@
 	"curlewspool/internal/protocol"
 )
 
+// CostCause is what a machine is paid for.
+type CostCause string
+
 // CostByCause is money by what it was paid for, in the catalog's unit. Its keys are the
 // causes below and the autoscaler's, for machines that boot.
-type CostByCause map[string]float64
+type CostByCause map[CostCause]float64
 
 // String lists the causes by name.
 func (c CostByCause) String() string {
@@ -26,13 +29,13 @@
 
 // Causes for which a machine that is up is paid.
 const (
-	CostRunning   = "ran"      // attempts that run
-	CostStarting  = "fetched"  // attempts that have not begun: images, orders on their way
-	CostStopping  = "stopping" // attempts that were asked to stop
-	CostReserved  = "reserved" // free capacity, for the head of the queue
-	CostReturning = "leaving"  // free capacity of a machine that is being returned
-	CostSuspect   = "doubted"  // free capacity of a machine that is suspect or silent
-	CostIdle      = "idle"     // other free capacity
+	CostRunning   CostCause = "ran"      // attempts that run
+	CostStarting  CostCause = "fetched"  // attempts that have not begun: images, orders on their way
+	CostStopping  CostCause = "stopping" // attempts that were asked to stop
+	CostReserved  CostCause = "reserved" // free capacity, for the head of the queue
+	CostReturning CostCause = "leaving"  // free capacity of a machine that is being returned
+	CostSuspect   CostCause = "doubted"  // free capacity of a machine that is suspect or silent
+	CostIdle      CostCause = "idle"     // other free capacity
 )
 
 // AddCost adds to a total what the shard's machines cost in a time, by cause: each core's
@@ -61,7 +64,7 @@
 }
 
 // attemptCostCause is the cause for which the cores of an attempt are paid.
-func attemptCostCause(attempt *agent.Attempt) string {
+func attemptCostCause(attempt *agent.Attempt) CostCause {
 	switch {
 	case attempt.StopRequested || attempt.State == protocol.TaskCheckpointing:
 		return CostStopping
@@ -72,7 +75,7 @@
 }
 
 // idleCostCause is the cause for which the free cores of a machine are paid.
-func (s *Shard) idleCostCause(machine *Machine, now time.Duration) string {
+func (s *Shard) idleCostCause(machine *Machine, now time.Duration) CostCause {
 	isSilent := now-machine.LastContact > 2*s.reportInterval()
 	switch {
 	case machine.isRetiring() || machine.draining || machine.PreemptionNoticed:
--- a/internal/shard/cost_test.go
+++ b/internal/shard/cost_test.go
@@ -1,6 +1,8 @@
 package shard
 
 import (
+	"encoding/json"
+	"maps"
 	"testing"
 	"time"
 
@@ -55,3 +57,17 @@
 		})
 	}
 }
+
+// The causes are read by name in controllers' debug state, in CBOR and JSON.
+func TestCostByCauseEncoding(t *testing.T) {
+	costs := CostByCause{CostRunning: 1.5, CostIdle: 2}
+	var plain map[string]float64
+	err := protocol.Decode(protocol.Encode(costs), &plain)
+	if err != nil || !maps.Equal(plain, map[string]float64{"ran": 1.5, "idle": 2}) {
+		t.Errorf("CBOR %v (%v)", plain, err)
+	}
+	text, err := json.Marshal(costs)
+	if err != nil || string(text) != `{"idle":2,"ran":1.5}` {
+		t.Errorf("JSON %s (%v)", text, err)
+	}
+}
--- a/internal/shard/headroom.go
+++ b/internal/shard/headroom.go
@@ -8,9 +8,6 @@
 	"curlewspool/internal/settings"
 )
 
-// objectiveWait is the kind of a service-level objective on the time until a job starts.
-const objectiveWait = "wait"
-
 // headroomBlocks tells whether a machine is kept as headroom for large jobs, so that a job
 // may not start a task there: one on which a large shape seen lately could start now is
 // not cut up for small tasks, but for what the large one would leave free, and for
@@ -85,7 +82,7 @@
 		wait += large.ImageGB / free.machineType.FetchGBPerSecond
 	}
 	for _, objective := range config.Deployment.Objectives {
-		if objective.Kind == objectiveWait && objective.Class == large.Class && wait > objective.Within {
+		if objective.Kind == settings.ObjectiveWait && objective.Class == large.Class && wait > objective.Within {
 			return false
 		}
 	}
--- a/internal/shard/headroom_test.go
+++ b/internal/shard/headroom_test.go
@@ -57,7 +57,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, shard := newShardWithQueuedJob(t)
-			shard.controller.Settings().Deployment.Objectives = []settings.Objective{{Kind: objectiveWait, Class: "g", Within: 6}}
+			shard.controller.Settings().Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "g", Within: 6}}
 			controller := newHeadroomController(shard, map[string]LargeJob{
 				"g": {Job: test.large, LastSeen: test.seenAt},
 			})
--- a/internal/shard/queue.go
+++ b/internal/shard/queue.go
@@ -26,11 +26,11 @@
 
 // rankedQueue lists the jobs of which tasks may start now, the highest score first.
 func (s *Shard) rankedQueue(now time.Duration) []*QueuedJob {
-	unresolved := s.unresolvedMachines()
+	unreconciled := s.unreconciledMachines()
 	var queue []*QueuedJob
 	shortest := math.Inf(1)
 	for _, job := range s.jobsByID() {
-		if !s.admitToQueue(job, unresolved, now) {
+		if !s.admitToQueue(job, unreconciled, now) {
 			continue
 		}
 		queue = append(queue, job)
@@ -46,11 +46,11 @@
 }
 
 // admitToQueue tells whether tasks of a job may start now; if not, it notes why it waits.
-func (s *Shard) admitToQueue(job *QueuedJob, unresolved []*Machine, now time.Duration) bool {
+func (s *Shard) admitToQueue(job *QueuedJob, unreconciled []*Machine, now time.Duration) bool {
 	switch {
 	case job.idleTasks == 0 || job.finishing || job.moving:
 		return false
-	case s.mayRunUnseen(job, unresolved):
+	case s.mayRunUnseen(job, unreconciled):
 		job.waitReason = waitUnreconciled
 		return false
 	case job.isBorrowed() && !s.isPermitted(job, now):
--- a/internal/shard/reconciliation.go
+++ b/internal/shard/reconciliation.go
@@ -1,20 +1,20 @@
 package shard
 
-// unresolvedMachines lists the machines that have not yet reported to this owner what runs
+// unreconciledMachines lists the machines that have not yet reported to this owner what runs
 // on them.
-func (s *Shard) unresolvedMachines() []*Machine {
-	var unresolved []*Machine
+func (s *Shard) unreconciledMachines() []*Machine {
+	var unreconciled []*Machine
 	for _, machine := range s.machinesByID() {
 		if !machine.Reconciled {
-			unresolved = append(unresolved, machine)
+			unreconciled = append(unreconciled, machine)
 		}
 	}
-	return unresolved
+	return unreconciled
 }
 
 // UnresolvedCount counts the machines that have not yet reported to this owner what runs
 // on them.
-func (s *Shard) UnresolvedCount() int { return len(s.unresolvedMachines()) }
+func (s *Shard) UnresolvedCount() int { return len(s.unreconciledMachines()) }
 
 // InboundPartitioned names the machines that report, but that no answer or order reaches.
 func (s *Shard) InboundPartitioned() []string {
@@ -41,12 +41,12 @@
 }
 
 // mayRunUnseen tells whether tasks of the job may run that this owner does not see: on an
-// unresolved machine that its record names, or about to be stopped on another.
-func (s *Shard) mayRunUnseen(job *QueuedJob, unresolved []*Machine) bool {
+// unreconciled machine that its record names, or about to be stopped on another.
+func (s *Shard) mayRunUnseen(job *QueuedJob, unreconciled []*Machine) bool {
 	if job.mayBeAnywhere() && job.newSinceTakeover {
 		return s.hasStaleAttempt(job)
 	}
-	for _, machine := range unresolved {
+	for _, machine := range unreconciled {
 		if job.recordedMachines.contains(machine.ID) {
 			return true
 		}
@@ -63,5 +63,5 @@
 		return false
 	}
 	isPartial := job.placedTasks > 0 && job.idleTasks > 0
-	return isPartial && !s.mayRunUnseen(job, s.unresolvedMachines())
+	return isPartial && !s.mayRunUnseen(job, s.unreconciledMachines())
 }
--- a/internal/shard/reservation.go
+++ b/internal/shard/reservation.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
 )
 
 // startOption says that on one machine a number of the head's tasks can start together
@@ -212,7 +213,7 @@
 	wait := age + (startsAt - now).Seconds() + fetchTime.Seconds()
 	hasTarget := false
 	for _, objective := range s.controller.Settings().Deployment.Objectives {
-		if objective.Class != spec.Class || objective.Kind != objectiveWait {
+		if objective.Class != spec.Class || objective.Kind != settings.ObjectiveWait {
 			continue
 		}
 		hasTarget = true
--- a/internal/shard/reservation_test.go
+++ b/internal/shard/reservation_test.go
@@ -112,7 +112,7 @@
 
 func TestMissesStartTarget(t *testing.T) {
 	waitWithin := func(seconds float64) []settings.Objective {
-		return []settings.Objective{{Kind: objectiveWait, Class: "c", Within: seconds}}
+		return []settings.Objective{{Kind: settings.ObjectiveWait, Class: "c", Within: seconds}}
 	}
 	const now = time.Minute
 	for _, test := range []struct {
--- a/internal/simulator/rental_cost_test.go
+++ b/internal/simulator/rental_cost_test.go
@@ -48,7 +48,7 @@
 	if total < 0.93*charged || total > 1.02*charged {
 		t.Errorf("told %.4f of %.4f charged: %v", total, charged, by)
 	}
-	for _, cause := range []string{shard.CostRunning, shard.CostStarting, shard.CostIdle, "boot"} {
+	for _, cause := range []shard.CostCause{shard.CostRunning, shard.CostStarting, shard.CostIdle, "boot"} {
 		if by[cause] <= 0 {
 			t.Errorf("nothing was paid for %s: %v", cause, by)
 		}
