--- a/internal/shard/borrowed_test.go
+++ b/internal/shard/borrowed_test.go
@@ -99,3 +99,38 @@
 		}
 	}
 }
+
+// A borrowed job of a term of 10 s is returned when it is over or recalled, when it has
+// found no capacity for a term, and after ten without a word from its home cluster.
+func TestIsToBeReturned(t *testing.T) {
+	const second = time.Second
+	now := time.Hour
+	for _, test := range []struct {
+		name      string
+		change    func(job *QueuedJob)
+		idleFor   time.Duration
+		remaining time.Duration // of its permit
+		want      bool
+	}{
+		{"runs", nil, 0, second, false},
+		{"idle for a term", nil, 10 * second, second, false},
+		{"idle for longer", nil, 11 * second, second, true},
+		{"idle for longer, and not permitted", nil, 11 * second, 0, false},
+		{"idle for ten terms, and not permitted", nil, 100 * second, 0, false},
+		{"idle for longer than ten, and not permitted", nil, 101 * second, 0, true},
+		{"recalled", func(job *QueuedJob) { job.Record.Loan.Recall = true }, 0, second, true},
+		{"ending", func(job *QueuedJob) { job.Record.Loan.Ending = true }, 0, second, true},
+		{"ended at home", func(job *QueuedJob) { job.endedAtHome = true }, 0, second, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, _, job := newShardWithBorrowedJob(t, 0)
+			job.lastPlacedAt = now - test.idleFor
+			if test.change != nil {
+				test.change(job)
+			}
+			if got := job.isToBeReturned(test.remaining, now); got != test.want {
+				t.Errorf("to be returned %v, want %v", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/shard/progress.go
+++ b/internal/shard/progress.go
@@ -1,7 +1,6 @@
 package shard
 
 import (
-	"log/slog"
 	"sort"
 	"time"
 
@@ -11,7 +10,7 @@
 	"curlewspool/internal/protocol"
 )
 
-// This file writes progress and ends of the shard's jobs to the key-value store.
+// This file writes the progress of the shard's jobs to the key-value store.
 
 const (
 	// progressShare is the share of a controller's part of the store's write budget that
@@ -24,61 +23,6 @@
 	bytesPerKB       = 1024
 )
 
-// finishIfDone writes the job's end when every task of it is done, in whatever shard.
-func (s *Shard) finishIfDone(job *QueuedJob) {
-	if job.remainingTasks > 0 || job.finishing || job.isService() {
-		return
-	}
-	job.finishing = true
-	id := job.Record.Job.ID
-	s.controller.Store().Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
-		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
-			if s.Jobs[id] != job {
-				return nil, nil
-			}
-			return s.replaceByFinal(job, &FinalRecord{
-				Nonce:   nonce,
-				Status:  protocol.JobDone,
-				Tasks:   job.Record.Job.Tasks,
-				EndedAt: s.controller.WallSeconds(),
-			})
-		},
-		Done: func(ok bool, _ uint64) {
-			job.finishing = false
-			if ok {
-				slog.Info("shard: job done", "shard", s.ID, "job", id)
-				return
-			}
-			if s.Jobs[id] == job { // a later tick tries again
-				job.notBefore = s.controller.Now() + s.reportInterval()/4
-			}
-		},
-	})
-}
-
-// replaceByFinal builds the write that replaces a job's record by its end.
-func (s *Shard) replaceByFinal(job *QueuedJob, final *FinalRecord) ([]protocol.Condition, []protocol.Mutation) {
-	id := job.Record.Job.ID
-	conditions := []protocol.Condition{
-		s.guard(),
-		{Key: JobKey(id), Revision: job.Revision},
-		{Key: FinalKey(id)},
-	}
-	mutations := []protocol.Mutation{
-		{Put: FinalKey(id), Value: protocol.Encode(final)},
-		{Delete: JobKey(id)},
-	}
-	return conditions, mutations
-}
-
-// replaceRecord builds the write that replaces a job's record, already encoded.
-func (s *Shard) replaceRecord(job *QueuedJob, encoded []byte) ([]protocol.Condition, []protocol.Mutation) {
-	key := JobKey(job.Record.Job.ID)
-	conditions := []protocol.Condition{s.guard(), {Key: key, Revision: job.Revision}}
-	mutations := []protocol.Mutation{{Put: key, Value: encoded}}
-	return conditions, mutations
-}
-
 // progressInterval is the time between two progress writes of a job, so that those of all
 // the shard's active jobs stay within their share of the store's write budget.
 func (s *Shard) progressInterval(activeJobs int) time.Duration {
