--- a/internal/shard/attempts.go
+++ b/internal/shard/attempts.go
@@ -12,6 +12,12 @@
 // seconds, when it is stopped.
 const checkpointMargin = 1
 
+// logTask logs what becomes of a task on a machine, with further attributes.
+func (s *Shard) logTask(what string, machine *Machine, attempt *agent.Attempt, attributes ...any) {
+	common := []any{"shard", s.ID, "machine", machine.ID, "task", attempt.String()}
+	slog.Info("shard: "+what, append(common, attributes...)...)
+}
+
 // completeTask notes that a task is done. The tasks of a gang complete together.
 func (s *Shard) completeTask(job *QueuedJob, attempt *agent.Attempt) {
 	delete(job.placements, attempt.TaskID)
@@ -88,7 +94,7 @@
 	if job.savesCheckpoints() {
 		grace = job.Record.Job.CheckpointDuration + checkpointMargin
 	}
-	slog.Info("shard: task stopped", "shard", s.ID, "machine", placed.machine.ID, "task", placed.attempt.String(), "reason", reason)
+	s.logTask("task stopped", placed.machine, placed.attempt, "reason", reason)
 	if wasNotLaunched := placed.machine.RequestStop(placed.attempt, grace); wasNotLaunched {
 		s.requeueTask(job, placed.attempt)
 		return
--- a/internal/shard/borrowed.go
+++ b/internal/shard/borrowed.go
@@ -114,7 +114,7 @@
 }
 
 // isToBeReturned tells whether a borrowed job is over, recalled, or has been without
-// capacity, or without a word from its home cluster, for so long that it may go elsewhere.
+// capacity, or without a renewal by its home cluster, for so long that it may go elsewhere.
 func (q *QueuedJob) isToBeReturned(remaining, now time.Duration) bool {
 	loan := q.Record.Loan
 	if loan.Ending || q.endedAtHome || loan.Recall {
--- a/internal/shard/lending.go
+++ b/internal/shard/lending.go
@@ -49,7 +49,8 @@
 			if !ok {
 				return
 			}
-			slog.Info("shard: chunk lent", "job", order.Job, "chunk", order.Chunk, "shard", s.ID, "partner", lent.Partner, "loan", lent.LoanNumber, "reason", lent.Reason)
+			slog.Info("shard: chunk lent", "shard", s.ID, "job", order.Job, "chunk", order.Chunk,
+				"partner", lent.Partner, "loan", lent.LoanNumber, "reason", lent.Reason)
 			s.forgetIfGone(job)
 		},
 	})
--- a/internal/shard/machine.go
+++ b/internal/shard/machine.go
@@ -73,7 +73,8 @@
 	if machine.isRetiring() {
 		return
 	}
-	slog.Info("shard: machine retired", "shard", s.ID, "machine", machine.ID, "type", machine.Type, "spot", machine.Spot, "reason", reason)
+	slog.Info("shard: machine retired", "shard", s.ID, "machine", machine.ID,
+		"type", machine.Type, "spot", machine.Spot, "reason", reason)
 	machine.retireReason = reason
 }
 
--- a/internal/shard/machinewatch.go
+++ b/internal/shard/machinewatch.go
@@ -56,29 +56,37 @@
 	if machine.PreemptionNoticed && now > machine.PreemptionTime+interval && silentFor > 2*interval {
 		return retirePreempted
 	}
-	if silentFor > lease/2 && s.isIsolatedFailure(machine, now) || silentFor > hopelessLeases*lease {
+	if s.isBeyondRepair(machine, silentFor, lease/2, now) {
 		return retireSilent
 	}
 	// A machine that answers commands, but whose reports do not arrive, is alive; what is
 	// on it ends with its lease if it goes on so. (Retired like a silent one it lost, half
 	// a lease early, what it would have kept over a shorter fault: eleven machines of a
 	// recorded day.)
-	unreportedFor := now - machine.LastHeartbeat
-	if unreportedFor > lease && !machine.MayHaveAttempts() && s.isIsolatedFailure(machine, now) || unreportedFor > hopelessLeases*lease {
+	unreportedLimit := lease
+	if machine.MayHaveAttempts() {
+		unreportedLimit = hopelessLeases * lease
+	}
+	if s.isBeyondRepair(machine, now-machine.LastHeartbeat, unreportedLimit, now) {
 		return retireNoReports
 	}
 	// What may be on an unreachable machine runs on until its lease expires, and is gone then.
 	since := machine.UnreachableSince()
-	if since <= 0 {
-		return ""
-	}
-	unreachableFor := now - since
-	if unreachableFor > lease && s.isIsolatedFailure(machine, now) || unreachableFor > hopelessLeases*lease {
+	if since > 0 && s.isBeyondRepair(machine, now-since, lease, now) {
 		return retireUnreachable
 	}
 	return ""
 }
 
+// isBeyondRepair tells whether a machine has failed for longer than a limit by itself, or
+// without hope in company of others.
+func (s *Shard) isBeyondRepair(machine *Machine, failingFor, limit, now time.Duration) bool {
+	if failingFor > hopelessLeases*s.leaseDuration() {
+		return true
+	}
+	return failingFor > limit && s.isIsolatedFailure(machine, now)
+}
+
 // isIsolatedFailure tells whether a silent, or unreachable, machine fails by itself. If
 // many fail, in the shard or in the machine's zone, the network or this controller is at
 // fault, and deleting them would only destroy work. (When zones were partitioned, the 70
--- a/internal/shard/reports.go
+++ b/internal/shard/reports.go
@@ -112,7 +112,7 @@
 	if isLocal {
 		job.unwantedAttempts[attempt] = machine
 	}
-	slog.Info("shard: unexpected task stopped", "shard", s.ID, "machine", machine.ID, "task", attempt.String(), "job_is_live", job != nil)
+	s.logTask("unexpected task stopped", machine, attempt, "job_is_live", job != nil)
 	machine.RequestStop(attempt, 0)
 	s.sendOrdersIfDue(machine)
 }
@@ -147,7 +147,7 @@
 		return
 	}
 	attempt.Acknowledge = true
-	slog.Info("shard: attempt ended without result", "shard", s.ID, "machine", machine.ID, "task", attempt.String(), "cause", attempt.Cause, "checkpointed", attempt.Checkpointed)
+	s.logTask("attempt ended without result", machine, attempt, "cause", attempt.Cause, "checkpointed", attempt.Checkpointed)
 	switch attempt.Cause {
 	case protocol.CauseError:
 		s.recordFailure(job, machine, now)
@@ -165,7 +165,7 @@
 	if attempt.Orphaned || job == nil {
 		return
 	}
-	slog.Info("shard: task lost", "shard", s.ID, "machine", machine.ID, "task", attempt.String())
+	s.logTask("task lost", machine, attempt)
 	s.requeueTask(job, attempt)
 }
 
@@ -187,7 +187,7 @@
 		}
 		machine.Forget(attempt)
 		if job != nil {
-			slog.Info("shard: task of unreachable machine queued again", "shard", s.ID, "machine", machine.ID, "task", attempt.String())
+			s.logTask("task of unreachable machine queued again", machine, attempt)
 			s.requeueTask(job, attempt)
 		}
 	}
--- a/internal/shard/status.go
+++ b/internal/shard/status.go
@@ -19,7 +19,7 @@
 	maxDemandReported = 64
 )
 
-// Status is the shard's part of the status that all controllers get at each heartbeat,
+// Status is the shard's share of the status that all controllers get at each heartbeat,
 // and its jobs that wait. maxRank is the highest rank.
 func (s *Shard) Status(maxRank int) (*peermsg.ShardStatus, []*peermsg.UnmetDemand) {
 	now := s.controller.Now()
@@ -42,7 +42,8 @@
 	}
 	s.addMachines(status)
 	s.addFreeCapacity(status, now)
-	slog.Debug("shard: status", "shard", s.ID, "machines", len(s.Machines), "jobs", len(s.Jobs), "queued", queued, "free", status.FreeCapacity, "has_head", s.headJob != nil)
+	slog.Debug("shard: status", "shard", s.ID, "machines", len(s.Machines), "jobs", len(s.Jobs),
+		"queued", queued, "free", status.FreeCapacity, "has_head", s.headJob != nil)
 	return status, demand
 }
 
