--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -2,7 +2,6 @@
 
 import (
 	"net/http"
-	"time"
 
 	"curlewspool/internal/agent"
 	"curlewspool/internal/election"
@@ -35,25 +34,26 @@
 		reply(http.StatusServiceUnavailable, &protocol.ErrorResponse{Error: "starting"})
 		return
 	}
-	now := c.env.Now()
 	record := c.machines[report.Machine]
 	isOwnMachine := record != nil && c.shards[record.Shard] != nil
-	c.reachability.recordReport(report, isOwnMachine, now)
+	c.reachability.recordReport(report, isOwnMachine, c.env.Now())
 	if record == nil {
 		c.reportFromUnknownMachine(report, reply)
 		return
 	}
 	owned, machine, refusal := c.findMachine(record)
 	if refusal == nil {
-		refusal = c.reconcileReport(owned, machine, report, now)
+		refusal = c.reconcileReport(owned, machine, report)
 	}
 	if refusal != nil {
 		reply(refusal.status, &refusal.body)
 		return
 	}
 	owned.ScheduleMachine(machine)
-	machine.ReportAnswered(now)
-	commands := nonNilCommands(machine.NextCommands(agent.InAnswer, c.CanLaunch(), now))
+	// The clock is read anew: the process may have been paused since the report came, and
+	// what may no longer run is told by the time of the answer.
+	machine.ReportAnswered(c.env.Now())
+	commands := nonNilCommands(machine.NextCommands(agent.InAnswer, c.CanLaunch(), c.env.Now()))
 	reply(http.StatusOK, &protocol.CommandBatch{FencingToken: machine.FencingToken, Commands: commands})
 }
 
@@ -83,7 +83,7 @@
 
 // reconcileReport takes a report into the shard's view of the machine. A refusal says
 // that the report cannot be answered with commands.
-func (c *Controller) reconcileReport(owned *shard.Shard, machine *shard.Machine, report *protocol.Report, now time.Duration) *heartbeatRefusal {
+func (c *Controller) reconcileReport(owned *shard.Shard, machine *shard.Machine, report *protocol.Report) *heartbeatRefusal {
 	if report.FencingToken > machine.FencingToken {
 		// The worker has seen a newer owner, or comes from another shard: an answer with
 		// a lower token would hold it here while its lease runs out.
@@ -99,9 +99,9 @@
 	switch {
 	case machine.IsUnreachable():
 		return rejectReport(machine, report, "does not hear")
-	case owned.ShouldDelayAnswer(machine, now):
+	case owned.ShouldDelayAnswer(machine, c.env.Now()):
 		return rejectReport(machine, report, "waits for a partner's word")
-	case machine.StopsExceedAnswer(now):
+	case machine.StopsExceedAnswer(c.env.Now()):
 		refusal := rejectReport(machine, report, "more is to stop than an answer holds")
 		c.SendOrders(owned, machine)
 		return refusal
