--- a/internal/controller/ownerloop.go
+++ b/internal/controller/ownerloop.go
@@ -14,10 +14,20 @@
 	return &ownerLoop{commands: make(chan func(), maxQueuedCommands)}
 }
 
-// run executes commands in the order of their submission and does not return.
+// run executes commands in batches, in the order of their submission, and does not
+// return.
 func (l *ownerLoop) run() {
 	for command := range l.commands {
 		command()
+		l.runBatch(len(l.commands))
+	}
+}
+
+// runBatch executes commands that are queued already.
+func (l *ownerLoop) runBatch(size int) {
+	for range size {
+		command := <-l.commands
+		command()
 	}
 }
 
