--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -2,6 +2,12 @@
 // nodes -> cloud"). It scales out, by renting machines for work that no shard can place;
 // it scales in, by deleting machines that their shards have retired, that failed or that
 // never came up; and it follows the cloud's list of machines.
+//
+//   - autoscaler.go: the Autoscaler and its round of reconciliation.
+//   - inventory.go, scalein.go: the cloud's list, and what is deleted.
+//   - demand.go, arrivals.go: how much spot work needs, waiting or expected.
+//   - scaleout.go, offering.go, zones.go: which machines to rent for what waits.
+//   - rental.go, booting.go: a machine from its rental until it is up.
 package autoscaler
 
 import (
--- a/internal/controller/federation.go
+++ b/internal/controller/federation.go
@@ -12,7 +12,7 @@
 )
 
 // This file connects the broker of partner clusters with the controller: requests of
-// partners, and what the broker asks of jobs (see federation.Host).
+// partners, and what the broker asks of jobs (see federation.Controller).
 
 // EnableFederation sets up the broker if the operators' settings name partners; to be called
 // before Start.
--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -13,9 +13,9 @@
 
 // What the components ask of their controller.
 var (
-	_ shard.Controller = (*Controller)(nil)
-	_ userapi.Host     = (*Controller)(nil)
-	_ federation.Host  = (*Controller)(nil)
+	_ shard.Controller      = (*Controller)(nil)
+	_ userapi.Controller    = (*Controller)(nil)
+	_ federation.Controller = (*Controller)(nil)
 )
 
 // Now is the monotonic time since the start of the process.
--- a/internal/federation/events.go
+++ b/internal/federation/events.go
@@ -19,12 +19,12 @@
 // Event is one step of a hand-over, for people and for traces: the same lease has events
 // at home and at the host.
 type Event struct {
-	Loan    string  `cbor:"l" json:"loan"`
-	Cluster string  `cbor:"c" json:"cluster"`
-	Host    string  `cbor:"h" json:"host"`
-	Step    Step    `cbor:"w" json:"what"`
-	Reason  string  `cbor:"y,omitempty" json:"why,omitempty"`
-	At      float64 `cbor:"at" json:"at"` // time of day, seconds
+	Loan       string  `cbor:"l" json:"loan"`
+	Cluster    string  `cbor:"c" json:"cluster"`
+	Controller string  `cbor:"h" json:"host"`
+	Step       Step    `cbor:"w" json:"what"`
+	Reason     string  `cbor:"y,omitempty" json:"why,omitempty"`
+	At         float64 `cbor:"at" json:"at"` // time of day, seconds
 }
 
 // maxEvents are kept: a few hundred leases' worth.
@@ -55,11 +55,11 @@
 // recordEvent notes a step of a lease now. The reason may be empty.
 func (b *Broker) recordEvent(leaseID string, step Step, reason string) {
 	b.events.add(Event{
-		Loan:    leaseID,
-		Cluster: b.settings.Cluster,
-		Host:    b.host.Settings().Name,
-		Step:    step,
-		Reason:  reason,
-		At:      b.host.WallSeconds(),
+		Loan:       leaseID,
+		Cluster:    b.settings.Cluster,
+		Controller: b.controller.Settings().Name,
+		Step:       step,
+		Reason:     reason,
+		At:         b.controller.WallSeconds(),
 	})
 }
--- a/internal/federation/federation.go
+++ b/internal/federation/federation.go
@@ -2,6 +2,13 @@
 // hand-over, renewals, results, and what may be taken back when (docs/federation.md). The
 // cluster whose user submitted a job is its home, the one that runs a part of it under a
 // remote lease is the host. The rules of time are those of package remotelease.
+//
+//   - federation.go: the Broker and its ways to the controller and to partners;
+//     messages.go: what partners exchange.
+//   - policy.go: what is lent, and how much is offered; ranges.go: lists of tasks.
+//   - home_leases.go, home_offers.go, home_renewals.go: what a cluster does as home.
+//   - host_offers.go, host_leases.go, host_states.go, host_renewals.go: what it does as host.
+//   - events.go, view.go: what operators see.
 package federation
 
 import (
@@ -19,8 +26,8 @@
 	"curlewspool/internal/shard"
 )
 
-// Host is what the broker needs of its controller.
-type Host interface {
+// Controller is what the broker needs of its controller.
+type Controller interface {
 	Now() time.Duration
 	// WallSeconds is the time of day in seconds.
 	WallSeconds() float64
@@ -63,9 +70,9 @@
 
 // Broker belongs to the controller's event loop.
 type Broker struct {
-	host     Host
-	client   PartnerClient
-	settings *settings.Federation
+	controller Controller
+	client     PartnerClient
+	settings   *settings.Federation
 
 	lentJobs     map[string]bool // jobs with chunks at partners
 	borrowedJobs map[string]bool
@@ -117,15 +124,15 @@
 const maxFinishedLeases = 4096
 
 // New makes a broker for the partners of the settings.
-func New(host Host, client PartnerClient, federation *settings.Federation) *Broker {
+func New(controller Controller, client PartnerClient, federation *settings.Federation) *Broker {
 	b := &Broker{
-		host:         host,
+		controller:   controller,
 		client:       client,
 		settings:     federation,
 		lentJobs:     map[string]bool{},
 		borrowedJobs: map[string]bool{},
 		partners:     map[string]*partner{},
-		renewals:     remotelease.NewRenewals(host.Now()),
+		renewals:     remotelease.NewRenewals(controller.Now()),
 		lentLeases:   map[remotelease.Key]*lentLease{},
 		retryAfter:   map[jobChunk]time.Duration{},
 		lendOrders:   map[uint64]time.Duration{},
@@ -138,7 +145,7 @@
 		b.partnerNames = append(b.partnerNames, p.Name)
 		b.partners[p.Name] = &partner{
 			settings:     p,
-			addressIndex: host.Rand().IntN(len(p.Addresses)),
+			addressIndex: controller.Rand().IntN(len(p.Addresses)),
 			ended:        map[string]bool{},
 		}
 	}
@@ -175,7 +182,7 @@
 // answered renewals only on proof that it led, so it did so before now.
 func (b *Broker) StartLeadership(fencingToken uint64) {
 	b.fencingToken = fencingToken
-	b.renewals = remotelease.NewRenewals(b.host.Now())
+	b.renewals = remotelease.NewRenewals(b.controller.Now())
 	b.lentLeases = map[remotelease.Key]*lentLease{}
 	b.offers = map[uint64]*heldOffer{}
 	b.lendOrders = map[uint64]time.Duration{}
@@ -183,8 +190,8 @@
 
 // Tick is called at each heartbeat.
 func (b *Broker) Tick() {
-	now := b.host.Now()
-	if b.host.IsLeader() {
+	now := b.controller.Now()
+	if b.controller.IsLeader() {
 		b.stepLentLeases(now)
 		for _, name := range b.partnerNames {
 			b.requestStates(b.partners[name], now)
@@ -198,12 +205,12 @@
 
 // reportInterval is the time between two reports of a machine.
 func (b *Broker) reportInterval() time.Duration {
-	return env.Seconds(b.host.Settings().Deployment.Workers.Report)
+	return env.Seconds(b.controller.Settings().Deployment.Workers.Report)
 }
 
 // jitter spreads a pause by a quarter either way.
 func (b *Broker) jitter(pause time.Duration) time.Duration {
-	return pause*3/4 + time.Duration(b.host.Rand().Int64N(int64(pause/2)+1))
+	return pause*3/4 + time.Duration(b.controller.Rand().Int64N(int64(pause/2)+1))
 }
 
 // callTimeout bounds one request to a partner, beside the report interval.
@@ -229,11 +236,11 @@
 // updateJobRecord changes a live job's record, as the leader. edit gets a copy, of which it
 // may replace fields but not change what they hold; false: nothing is to be written.
 func (b *Broker) updateJobRecord(priority kvstore.Priority, id string, edit func(record *shard.JobRecord) bool, done func(ok bool)) {
-	store, key := b.host.Store(), shard.JobKey(id)
+	store, key := b.controller.Store(), shard.JobKey(id)
 	store.Write(priority, &kvstore.WriteRequest{
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
-			current := b.host.Job(id)
-			if current == nil || !b.host.IsLeader() {
+			current := b.controller.Job(id)
+			if current == nil || !b.controller.IsLeader() {
 				return nil, nil
 			}
 			record := *current
@@ -241,7 +248,7 @@
 			if !edit(&record) {
 				return nil, nil
 			}
-			conditions := []protocol.Condition{b.host.LeaderCondition(), store.UnchangedCondition(key)}
+			conditions := []protocol.Condition{b.controller.LeaderCondition(), store.UnchangedCondition(key)}
 			return conditions, []protocol.Mutation{{Put: key, Value: protocol.Encode(&record)}}
 		},
 		Done: func(ok bool, _ uint64) { done(ok) },
--- a/internal/federation/home_leases.go
+++ b/internal/federation/home_leases.go
@@ -83,7 +83,7 @@
 func (b *Broker) stepLentLeases(now time.Duration) {
 	live := map[remotelease.Key]bool{}
 	for _, job := range slices.Sorted(maps.Keys(b.lentJobs)) {
-		record := b.host.Job(job)
+		record := b.controller.Job(job)
 		if record == nil {
 			continue
 		}
@@ -173,7 +173,7 @@
 // progressSaveInterval spaces the writes of what partners finished: together they use at
 // most an eighth of a controller's share of the store's write rate.
 func (b *Broker) progressSaveInterval(leases int) time.Duration {
-	s := b.host.Settings()
+	s := b.controller.Settings()
 	writesPerSecond := s.Deployment.State.WriteRPS / 8 / float64(len(s.Names()))
 	return max(b.reportInterval(), env.Seconds(float64(leases)/writesPerSecond))
 }
@@ -189,7 +189,7 @@
 	job := record.Job
 	job.ID, job.Tasks = id, lease.tasks
 	if job.Deadline > 0 {
-		job.Deadline = max(1, job.Deadline-(b.host.WallSeconds()-record.AcceptedAt))
+		job.Deadline = max(1, job.Deadline-(b.controller.WallSeconds()-record.AcceptedAt))
 	}
 	request := &LeaseRequest{
 		ID:     id,
@@ -202,7 +202,7 @@
 	state := &LeaseState{}
 	b.callPartner(p, PathLeases, request, state, func(status int) {
 		lease.isHandingOver = false
-		lease.nextHandOverAt = b.host.Now() + b.jitter(b.reportInterval()/2)
+		lease.nextHandOverAt = b.controller.Now() + b.jitter(b.reportInterval()/2)
 		switch status {
 		case http.StatusOK:
 			lease.isAccepted = true
@@ -246,7 +246,7 @@
 // maxDoneRanges of done tasks keep a record within half of the store's largest value.
 func (b *Broker) maxDoneRanges() int {
 	const bytesPerRange = 12
-	return int(b.host.Settings().Deployment.State.ValueKB * 1024 / 2 / bytesPerRange)
+	return int(b.controller.Settings().Deployment.State.ValueKB * 1024 / 2 / bytesPerRange)
 }
 
 // takeBack gives the chunk a shard again. While that is under way no renewal of the lease
@@ -262,14 +262,14 @@
 		if index < 0 || b.lentLeases[lease.key] != lease {
 			return false
 		}
-		if !isConfirmed && !b.renewals.IsExpired(lease.key, lease.rules(), b.host.Now()) {
+		if !isConfirmed && !b.renewals.IsExpired(lease.key, lease.rules(), b.controller.Now()) {
 			return false
 		}
 		chunk := record.Job
 		chunk.Tasks = lease.tasks
 		record.LentChunks = slices.Concat(record.LentChunks[:index], record.LentChunks[index+1:])
 		record.ChunkShards = slices.Clone(record.ChunkShards)
-		record.ChunkShards[lease.away.Chunk] = b.host.PlaceJob(&chunk, record.Rank)
+		record.ChunkShards[lease.away.Chunk] = b.controller.PlaceJob(&chunk, record.Rank)
 		record.DoneRanges = b.mergedDone(record, lease)
 		return true
 	}, func(ok bool) {
@@ -290,9 +290,9 @@
 	b.recordEvent(lease.key.JobID(b.settings.Cluster), StepReturned, reason)
 	if done < lease.tasks {
 		// Not at once to the same partner, which has no capacity for it.
-		b.retryAfter[jobChunk{job, lease.away.Chunk}] = b.host.Now() + b.jitter(4*b.reportInterval())
+		b.retryAfter[jobChunk{job, lease.away.Chunk}] = b.controller.Now() + b.jitter(4*b.reportInterval())
 	}
-	b.host.AnnounceChange(job)
+	b.controller.AnnounceChange(job)
 }
 
 // saveProgress notes in this cluster's store what the host finished, so that the loss of a
@@ -329,7 +329,7 @@
 	response := &StatesResponse{}
 	b.callPartner(p, PathStates, request, response, func(status int) {
 		p.isRequestingStates = false
-		p.nextStatesAt = b.host.Now() + b.jitter(b.reportInterval()/2)
+		p.nextStatesAt = b.controller.Now() + b.jitter(b.reportInterval()/2)
 		if status != http.StatusOK || len(response.States) != len(leases) {
 			return
 		}
@@ -348,7 +348,7 @@
 // statesRequest lists the leases to ask a partner about. Those that have not started there
 // and fit here now are recalled.
 func (b *Broker) statesRequest(p *partner) ([]*lentLease, *StatesRequest) {
-	startable := b.host.StartableCounter()
+	startable := b.controller.StartableCounter()
 	var leases []*lentLease
 	request := &StatesRequest{}
 	for _, key := range sortedLeaseKeys(b.lentLeases) {
@@ -376,7 +376,7 @@
 
 // fitsAtHome reports whether a shard of this cluster could start all of a lease now.
 func (b *Broker) fitsAtHome(lease *lentLease, startable func(*protocol.Job) []int) bool {
-	record := b.host.Job(lease.key.Job)
+	record := b.controller.Job(lease.key.Job)
 	if record == nil {
 		return false
 	}
--- a/internal/federation/home_offers.go
+++ b/internal/federation/home_offers.go
@@ -30,7 +30,7 @@
 	if p.isRequestingOffers || now < p.nextOffersAt || len(p.settings.Classes) == 0 {
 		return
 	}
-	waiting := b.host.WaitingChunks()
+	waiting := b.controller.WaitingChunks()
 	candidates := b.lendCandidates(p, waiting)
 	slog.Debug("federation: work waits", "chunks", len(waiting), "candidates", len(candidates),
 		"partner", p.settings.Name, "empty_offers", p.emptyOffers)
@@ -48,7 +48,7 @@
 	b.callPartner(p, PathOffers, request, response, func(status int) {
 		p.isRequestingOffers = false
 		hasOffers := false
-		if status == http.StatusOK && len(response.Offers) == len(candidates) && b.host.IsLeader() {
+		if status == http.StatusOK && len(response.Offers) == len(candidates) && b.controller.IsLeader() {
 			hasOffers = b.useOffers(p, candidates, response.Offers)
 		}
 		// A partner without capacity is asked ever more rarely, so that many homes do not
@@ -58,14 +58,14 @@
 		} else {
 			p.emptyOffers = min(p.emptyOffers+1, maxEmptyOffers)
 		}
-		p.nextOffersAt = b.host.Now() + b.jitter(b.reportInterval()<<p.emptyOffers/2)
+		p.nextOffersAt = b.controller.Now() + b.jitter(b.reportInterval()<<p.emptyOffers/2)
 	})
 }
 
 // lendCandidates picks the chunks that a partner should take, the most urgent first. One
 // chunk of a job is lent at a time, since its record takes one change at a time.
 func (b *Broker) lendCandidates(p *partner, waiting []*WaitingChunk) []lendCandidate {
-	s, wall := b.host.Settings(), b.host.WallSeconds()
+	s, wall := b.controller.Settings(), b.controller.WallSeconds()
 	startsThere := partnerStartDelay(s)
 	sortByUrgency(waiting, startsThere, wall)
 	var candidates []lendCandidate
@@ -111,9 +111,9 @@
 		}
 		hasOffers = true
 		candidate := &candidates[i]
-		b.retryAfter[candidate.chunk()] = b.host.Now() + b.reportInterval()
-		b.lendOrders[offer.ID] = b.host.Now() + b.reportInterval()
-		b.host.OrderLend(&shard.LendOrder{
+		b.retryAfter[candidate.chunk()] = b.controller.Now() + b.reportInterval()
+		b.lendOrders[offer.ID] = b.controller.Now() + b.reportInterval()
+		b.controller.OrderLend(&shard.LendOrder{
 			Job:   candidate.waiting.Record.Job.ID,
 			Chunk: candidate.waiting.Chunk,
 			Lent: shard.LentChunk{
--- a/internal/federation/home_renewals.go
+++ b/internal/federation/home_renewals.go
@@ -27,8 +27,8 @@
 	}
 	// On proof: a cancellation, a return or another leader before the question must be seen
 	// in the answer.
-	b.host.Store().Sync(func(proven bool) {
-		if !proven || !b.host.IsLeader() {
+	b.controller.Store().Sync(func(proven bool) {
+		if !proven || !b.controller.IsLeader() {
 			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 			return
 		}
@@ -38,7 +38,7 @@
 
 // renewalsOf answers for leases now, from records that are proven to be current.
 func (b *Broker) renewalsOf(partnerName string, leases []string) *RenewalsResponse {
-	now := b.host.Now()
+	now := b.controller.Now()
 	response := &RenewalsResponse{Hold: []string{}, End: []string{}}
 	for _, id := range leases {
 		key, ok := parseKeyOf(id, b.settings.Cluster)
@@ -68,7 +68,7 @@
 
 // leaseStanding looks a lease up in home's record.
 func (b *Broker) leaseStanding(key remotelease.Key, partnerName string) standing {
-	record := b.host.Job(key.Job)
+	record := b.controller.Job(key.Job)
 	if record == nil {
 		return leaseOver
 	}
--- a/internal/federation/host_leases.go
+++ b/internal/federation/host_leases.go
@@ -21,7 +21,7 @@
 		httpreply.Problem(reply, http.StatusBadRequest, reason)
 		return
 	}
-	if b.host.Job(request.ID) != nil {
+	if b.controller.Job(request.ID) != nil {
 		reply(http.StatusOK, b.borrowedState(request.ID), 0)
 		return
 	}
@@ -33,7 +33,7 @@
 	job := borrowedJob(request.ID, from, &request.Job)
 	record := &shard.JobRecord{
 		Job:         job,
-		AcceptedAt:  b.host.WallSeconds(),
+		AcceptedAt:  b.controller.WallSeconds(),
 		ChunkSize:   job.Tasks,
 		ChunkShards: []int{offer.shard},
 		DoneRanges:  shiftRanges(request.Done, 0, job.Tasks),
@@ -45,7 +45,7 @@
 			TermMillis:  request.TermMs,
 		},
 	}
-	if len(protocol.Encode(record)) > b.host.Settings().MostRecord() {
+	if len(protocol.Encode(record)) > b.controller.Settings().MostRecord() {
 		httpreply.Problem(reply, http.StatusBadRequest, "fields too long")
 		return
 	}
@@ -66,18 +66,18 @@
 
 // stands reports whether an offer, which may be nil, still holds capacity for a lease.
 func (b *Broker) stands(offer *heldOffer, from string, request *LeaseRequest) bool {
-	return offer != nil && !offer.isTaken && offer.home == from && b.host.Now() <= offer.until &&
+	return offer != nil && !offer.isTaken && offer.home == from && b.controller.Now() <= offer.until &&
 		request.Job.Tasks <= offer.tasks && b.settings.Partner(from).Lends > 0
 }
 
 // refuseLease refuses a lease whose offer does not stand, on proof that no earlier leader
 // accepted it.
 func (b *Broker) refuseLease(id string, reply Reply) {
-	b.host.Store().Sync(func(proven bool) {
+	b.controller.Store().Sync(func(proven bool) {
 		switch {
 		case !proven:
 			httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
-		case b.host.Job(id) != nil:
+		case b.controller.Job(id) != nil:
 			reply(http.StatusOK, b.borrowedState(id), 0)
 		default:
 			b.Counters.RefusedHere++
@@ -90,13 +90,13 @@
 // accepted before.
 func (b *Broker) storeLease(record *shard.JobRecord, offer *heldOffer, reply Reply) {
 	id := record.Job.ID
-	b.host.Store().Write(kvstore.PriorityNormal, &kvstore.WriteRequest{
+	b.controller.Store().Write(kvstore.PriorityNormal, &kvstore.WriteRequest{
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
-			if !b.host.IsLeader() {
+			if !b.controller.IsLeader() {
 				return nil, nil
 			}
 			record.Nonce = nonce
-			conditions := []protocol.Condition{b.host.LeaderCondition(), {Key: shard.JobKey(id)}, {Key: shard.FinalKey(id)}}
+			conditions := []protocol.Condition{b.controller.LeaderCondition(), {Key: shard.JobKey(id)}, {Key: shard.FinalKey(id)}}
 			return conditions, []protocol.Mutation{{Put: shard.JobKey(id), Value: protocol.Encode(record)}}
 		},
 		Done: func(ok bool, _ uint64) {
@@ -105,11 +105,11 @@
 				return
 			}
 			offer.isTaken = true
-			offer.until = b.host.Now() + 2*b.reportInterval() // held until it has started
+			offer.until = b.controller.Now() + 2*b.reportInterval() // held until it has started
 			b.Counters.Borrowed++
 			slog.Info("federation: remote lease accepted", "job", id, "tasks", record.Job.Tasks, "partner", record.Loan.HomeCluster)
 			b.recordEvent(id, StepBorrowed, "")
-			b.host.AnnounceChange(id)
+			b.controller.AnnounceChange(id)
 			reply(http.StatusOK, &LeaseState{Status: StatusQueued}, 0)
 		},
 		ShouldAbandon: func() bool {
--- a/internal/federation/host_offers.go
+++ b/internal/federation/host_offers.go
@@ -42,7 +42,7 @@
 func (b *Broker) lentTo(home string) usage {
 	var used usage
 	for id := range b.borrowedJobs {
-		record := b.host.Job(id)
+		record := b.controller.Job(id)
 		if record == nil || record.Loan == nil || record.Loan.HomeCluster != home {
 			continue
 		}
@@ -60,7 +60,7 @@
 	heldCores  map[int]float64 // by shard
 	freeCores  float64         // of the home's share
 	used       usage
-	countTasks func(job *protocol.Job) []int // see Host.StartableCounter
+	countTasks func(job *protocol.Job) []int // see Controller.StartableCounter
 }
 
 // AnswerOffers answers a home's request for capacity. What is offered is held for a
@@ -70,16 +70,16 @@
 		httpreply.Problem(reply, http.StatusBadRequest, "too many wants")
 		return
 	}
-	now := b.host.Now()
+	now := b.controller.Now()
 	heldCores, heldForHome := b.dropVoidOffers(from, request.KeptOffers, now)
 	used := b.lentTo(from)
 	state := &offerRound{
 		home:       from,
 		until:      now + 4*b.reportInterval(),
 		heldCores:  heldCores,
-		freeCores:  lendableCores(b.settings.Partner(from), b.host.TotalCores(), used.cores+heldForHome),
+		freeCores:  lendableCores(b.settings.Partner(from), b.controller.TotalCores(), used.cores+heldForHome),
 		used:       used,
-		countTasks: b.host.StartableCounter(),
+		countTasks: b.controller.StartableCounter(),
 	}
 	response := &OffersResponse{}
 	for i := range request.Requests {
--- a/internal/federation/host_renewals.go
+++ b/internal/federation/host_renewals.go
@@ -52,7 +52,7 @@
 	}
 	p.isRequestingRenewals = true
 	request := &RenewalsRequest{
-		LeaseMs: int64(b.host.Settings().Deployment.Workers.Lease * 1000),
+		LeaseMs: int64(b.controller.Settings().Deployment.Workers.Lease * 1000),
 		Leases:  slices.Sorted(maps.Keys(leases)),
 	}
 	response := &RenewalsResponse{}
@@ -60,7 +60,7 @@
 		p.isRequestingRenewals = false
 		if status != http.StatusOK {
 			b.Counters.RenewalsMissed++
-			p.nextRenewalAt = b.host.Now() + b.jitter(min(shortest/retriesPerTerm, maxRetryPause))
+			p.nextRenewalAt = b.controller.Now() + b.jitter(min(shortest/retriesPerTerm, maxRetryPause))
 			return
 		}
 		p.nextRenewalAt = now + b.jitter(shortest/renewalsPerTerm)
@@ -71,7 +71,7 @@
 // renewableLeases lists, by job, up to maxLeases that are borrowed from a home.
 func (b *Broker) renewableLeases(home string) map[string]renewable {
 	leases := map[string]renewable{}
-	b.host.EachBorrowedJob(func(owner *shard.Shard, record *shard.JobRecord, permit *remotelease.Permit) {
+	b.controller.EachBorrowedJob(func(owner *shard.Shard, record *shard.JobRecord, permit *remotelease.Permit) {
 		if record.Loan.HomeCluster != home || len(leases) >= maxLeases {
 			return
 		}
@@ -88,7 +88,7 @@
 		if !ok {
 			continue
 		}
-		if !lease.permit.IsValid(b.host.Now()) {
+		if !lease.permit.IsValid(b.controller.Now()) {
 			b.recordEvent(id, StepPermitted, "")
 		}
 		lease.permit.Renew(sentAt, lease.term)
--- a/internal/federation/host_states.go
+++ b/internal/federation/host_states.go
@@ -18,7 +18,7 @@
 
 // borrowedState is the state of a borrowed job that is live.
 func (b *Broker) borrowedState(id string) *LeaseState {
-	done, running := b.host.StoredProgress(id)
+	done, running := b.controller.StoredProgress(id)
 	state := &LeaseState{Status: StatusQueued, Running: running, Done: done}
 	if running > 0 || len(done) > 0 {
 		state.Status = StatusRunning
@@ -62,7 +62,7 @@
 		if b.knownState(from, id, &response.States[i]) {
 			continue
 		}
-		if fetches >= b.host.Settings().Deployment.State.TxnOps {
+		if fetches >= b.controller.Settings().Deployment.State.TxnOps {
 			response.States[i].Status = StatusUnavailable
 			continue
 		}
@@ -80,7 +80,7 @@
 		state.Status = StatusUnknown
 		return true
 	}
-	if b.host.Job(id) != nil {
+	if b.controller.Job(id) != nil {
 		*state = *b.borrowedState(id)
 		return true
 	}
@@ -93,7 +93,7 @@
 
 // fetchState reads the state of a lease that is not live in the cache, and calls done.
 func (b *Broker) fetchState(id string, state *LeaseState, done func()) {
-	b.host.Store().Fetch(shard.FinalKey(id), func(entry kvstore.Entry, err error) {
+	b.controller.Store().Fetch(shard.FinalKey(id), func(entry kvstore.Entry, err error) {
 		var outcome shard.FinalRecord
 		switch {
 		case err == nil && protocol.Decode(entry.Value, &outcome) == nil:
@@ -112,11 +112,11 @@
 // proveState sets the state of a lease that has not finished. The cache may be older than
 // its acceptance by an earlier leader: without proof home would give up a lease that runs.
 func (b *Broker) proveState(id string, state *LeaseState, done func()) {
-	b.host.Store().Sync(func(proven bool) {
+	b.controller.Store().Sync(func(proven bool) {
 		switch {
 		case !proven:
 			state.Status = StatusUnavailable
-		case b.host.Job(id) != nil:
+		case b.controller.Job(id) != nil:
 			*state = *b.borrowedState(id)
 		default:
 			state.Status = StatusUnknown
@@ -128,7 +128,7 @@
 // flagForReturn notes in a borrowed job's record that it is to be given back: at once, or
 // if nothing of it has started. The owner of its shard sees it there.
 func (b *Broker) flagForReturn(from, id string, atOnce bool) {
-	record := b.host.Job(id)
+	record := b.controller.Job(id)
 	if _, ok := parseKeyOf(id, from); !ok || record == nil || record.Loan == nil || b.flagging[id] {
 		return
 	}
@@ -151,6 +151,6 @@
 			step = StepEnded
 		}
 		b.recordEvent(id, step, "")
-		b.host.AnnounceChange(id)
+		b.controller.AnnounceChange(id)
 	})
 }
--- a/internal/federation/view.go
+++ b/internal/federation/view.go
@@ -49,7 +49,7 @@
 		Events:   b.events.list(),
 	}
 	for job := range b.lentJobs {
-		if record := b.host.Job(job); record != nil {
+		if record := b.controller.Job(job); record != nil {
 			view.Lent = append(view.Lent, b.remoteChunks(record)...)
 		}
 	}
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -96,7 +96,7 @@
 			trace.WithTimestamp(stepStart),
 			trace.WithAttributes(
 				attribute.String("cluster", step.Cluster),
-				attribute.String("controller", step.Host),
+				attribute.String("controller", step.Controller),
 				attribute.String("why", step.Reason)))
 		if step.Step == federation.StepRefused || step.Reason == federation.ReasonTermExpired {
 			span.SetStatus(codes.Error, step.Reason)
--- a/internal/userapi/cancel.go
+++ b/internal/userapi/cancel.go
@@ -16,7 +16,7 @@
 
 // Cancel handles POST /v2/runs/{id}/abort.
 func (s *Service) Cancel(job string, reply Reply) {
-	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
+	if !protocol.ValidJobID(job) || s.controller.IsReserved(job) {
 		replyNoSuchJob(reply)
 		return
 	}
@@ -61,7 +61,7 @@
 // storeCancellation stores that a job is cancelled, by its user or, if cause is not
 // empty, with that other job. For refused see kvstore.WriteRequest.
 func (s *Service) storeCancellation(job, cause string, done func(ok bool), refused func() bool) {
-	store, tasks := s.host.Store(), s.taskCount(job)
+	store, tasks := s.controller.Store(), s.taskCount(job)
 	var outcome shard.FinalRecord
 	store.Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
@@ -73,7 +73,7 @@
 				Nonce:         nonce,
 				Status:        protocol.JobCancelled,
 				Tasks:         tasks,
-				EndedAt:       s.host.WallSeconds(),
+				EndedAt:       s.controller.WallSeconds(),
 				CancelledWith: cause,
 			}
 			conditions := []protocol.Condition{current, {Key: shard.FinalKey(job)}}
@@ -86,7 +86,7 @@
 			if ok {
 				slog.Info("userapi: job cancelled", "job", job, "cause", cause)
 				s.RecordFinished(job, outcome)
-				s.host.AnnounceCancelled(job, cause)
+				s.controller.AnnounceCancelled(job, cause)
 			}
 			done(ok)
 		},
--- a/internal/userapi/dependencies.go
+++ b/internal/userapi/dependencies.go
@@ -38,7 +38,7 @@
 // One that is live in the cache was, however old the cache is; for any other the store is
 // asked, so that "never accepted" is newer than the request.
 func (s *Service) submitDependent(job *protocol.Job, timing submissionTiming, reply Reply) {
-	if !s.host.SupportsDependencies() {
+	if !s.controller.SupportsDependencies() {
 		s.replyKnownOr(job.ID, reply, func() { httpreply.Unavailable(reply, reasonOldController) })
 		return
 	}
@@ -89,7 +89,7 @@
 // acceptLive takes a needed job that is live. A service never finishes, so nothing can
 // wait for one.
 func (d *dependentSubmission) acceptLive(need string) {
-	if record := d.service.host.Job(need); record != nil && record.Job.Shape == protocol.ShapeService {
+	if record := d.service.controller.Job(need); record != nil && record.Job.Shape == protocol.ShapeService {
 		d.reject(fmt.Errorf("%w: %s", errDependsOnService, need))
 		return
 	}
@@ -110,7 +110,7 @@
 		return
 	}
 	d.timing.placedAt = d.service.env.Now()
-	record := &shard.JobRecord{Job: *d.job, AcceptedAt: d.service.host.WallSeconds()}
+	record := &shard.JobRecord{Job: *d.job, AcceptedAt: d.service.controller.WallSeconds()}
 	d.service.storeJob(&d.timing, record, d.reply)
 }
 
@@ -119,7 +119,7 @@
 
 // openDependencies lists what a job still waits for.
 func (s *Service) openDependencies(job string) []string {
-	open := s.host.Dependencies().UnmetNeeds(job)
+	open := s.controller.Dependencies().UnmetNeeds(job)
 	return open[:min(len(open), maxListedDependencies)]
 }
 
@@ -142,7 +142,7 @@
 // and hands it to the dependency graph. ok is false if it could not be read.
 func (s *Service) FetchOutcome(job string, done func(ok bool)) {
 	if outcome, known := s.finished.Get(job); known {
-		s.host.Dependencies().RecordOutcome(job, dependencyOutcome(outcome.Status))
+		s.controller.Dependencies().RecordOutcome(job, dependencyOutcome(outcome.Status))
 		done(true)
 		return
 	}
@@ -152,5 +152,5 @@
 // CancelWithDependency stores that a waiting job is cancelled with one that it needs.
 func (s *Service) CancelWithDependency(job string, done func(ok bool)) {
 	giveUp := func() bool { return true }
-	s.storeCancellation(job, s.host.Dependencies().CancellationCause(job), done, giveUp)
+	s.storeCancellation(job, s.controller.Dependencies().CancellationCause(job), done, giveUp)
 }
--- a/internal/userapi/lookup.go
+++ b/internal/userapi/lookup.go
@@ -53,7 +53,7 @@
 		l.finish(outcome)
 		return
 	}
-	if s.host.Store().IsUnavailable() {
+	if s.controller.Store().IsUnavailable() {
 		l.answer(jobUnavailable)
 		return
 	}
@@ -61,7 +61,7 @@
 		s.enqueueLookup(l)
 		return
 	}
-	s.host.Store().Sync(func(proven bool) {
+	s.controller.Store().Sync(func(proven bool) {
 		outcome, finished := s.finished.Get(l.job)
 		switch {
 		case finished:
@@ -80,8 +80,8 @@
 // serves all lookups that wait.
 func (s *Service) enqueueLookup(l *lookup) {
 	// Each question holds a connection; half of them are for users.
-	maxPending := s.host.Settings().Deployment.Limits.Sockets / 2
-	if s.host.Store().IsUnavailable() || len(s.pendingLookups) > maxPending {
+	maxPending := s.controller.Settings().Deployment.Limits.Sockets / 2
+	if s.controller.Store().IsUnavailable() || len(s.pendingLookups) > maxPending {
 		l.answer(jobUnavailable)
 		return
 	}
@@ -95,14 +95,14 @@
 		return
 	}
 	s.isComparing = true
-	store := &s.host.Settings().Deployment.State
+	store := &s.controller.Settings().Deployment.State
 	// Waiting for this controller's turn in the rate limit lets one request serve many.
-	turn := float64(len(s.host.Settings().Names())) / store.RPS
+	turn := float64(len(s.controller.Settings().Names())) / store.RPS
 	s.env.After(time.Duration(turn*float64(time.Second)), func() {
 		size := min(len(s.pendingLookups), 2*store.TxnOps)
 		batch := s.pendingLookups[:size:size]
 		s.pendingLookups = s.pendingLookups[size:]
-		s.host.Store().CheckConditions(absenceConditions(batch), func(err error) {
+		s.controller.Store().CheckConditions(absenceConditions(batch), func(err error) {
 			s.isComparing = false
 			for _, l := range batch {
 				s.applyComparison(l, err)
@@ -156,7 +156,7 @@
 
 // resolveUnfinished goes on with a lookup of a job that had not finished.
 func (s *Service) resolveUnfinished(l *lookup) {
-	s.host.Store().Sync(func(proven bool) {
+	s.controller.Store().Sync(func(proven bool) {
 		switch {
 		case !proven || l.attempts > maxLookupAttempts:
 			l.answer(jobUnavailable)
@@ -175,7 +175,7 @@
 // all, by one key. The cache was proven after the question, so whatever was confirmed
 // before it is no longer live there, and its outcome is read.
 func (s *Service) resolveLive(l *lookup) {
-	graph := s.host.Dependencies()
+	graph := s.controller.Dependencies()
 	unread := graph.UnreadUpstream(l.job)
 	if graph.IsCancelled(l.job) {
 		l.finish(shard.FinalRecord{Status: protocol.JobCancelled, Tasks: s.taskCount(l.job), CancelledWith: graph.CancellationCause(l.job)})
@@ -201,7 +201,7 @@
 // readOutcome reads a job's outcome from the store, and remembers it. err is
 // kvstore.ErrNotFound if the job has not finished; any other: it is not known.
 func (s *Service) readOutcome(job string, done func(outcome shard.FinalRecord, err error)) {
-	s.host.Store().Fetch(shard.FinalKey(job), func(entry kvstore.Entry, err error) {
+	s.controller.Store().Fetch(shard.FinalKey(job), func(entry kvstore.Entry, err error) {
 		var outcome shard.FinalRecord
 		if err == nil {
 			err = protocol.Decode(entry.Value, &outcome)
--- a/internal/userapi/replies.go
+++ b/internal/userapi/replies.go
@@ -73,12 +73,12 @@
 
 // liveState is the answer to a question for a live job.
 func (s *Service) liveState(job string) *protocol.JobState {
-	counts := s.host.JobProgress(job)
+	counts := s.controller.JobProgress(job)
 	state := &protocol.JobState{ID: job, Status: protocol.JobPending, Done: &counts.Done, Running: &counts.Running}
 	if counts.Started && counts.Running > 0 {
 		state.Status = protocol.JobRunning
 	}
-	state.Remote = s.host.RemoteTasks(job)
+	state.Remote = s.controller.RemoteTasks(job)
 	state.PendingDependencies = s.openDependencies(job)
 	return state
 }
@@ -102,7 +102,7 @@
 
 // Status handles GET /v2/runs/{id}.
 func (s *Service) Status(job string, reply Reply) {
-	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
+	if !protocol.ValidJobID(job) || s.controller.IsReserved(job) {
 		replyNoSuchJob(reply)
 		return
 	}
--- a/internal/userapi/submit.go
+++ b/internal/userapi/submit.go
@@ -41,7 +41,7 @@
 		s.rejectMalformed(body, err, reply)
 		return
 	}
-	if s.host.IsReserved(job.ID) {
+	if s.controller.IsReserved(job.ID) {
 		httpreply.Problem(reply, http.StatusBadRequest, errReservedID.Error())
 		return
 	}
@@ -49,15 +49,15 @@
 		reply(http.StatusOK, finishedState(job.ID, outcome), 0)
 		return
 	}
-	if s.host.Store().IsUnavailable() {
+	if s.controller.Store().IsUnavailable() {
 		httpreply.Unavailable(reply, httpreply.ReasonStoreUnreachable)
 		return
 	}
-	if s.host.Job(job.ID) != nil {
+	if s.controller.Job(job.ID) != nil {
 		s.replyKnownOr(job.ID, reply, func() { httpreply.Unavailable(reply, httpreply.ReasonConflict) })
 		return
 	}
-	if len(s.host.MachineTypes()) == 0 {
+	if len(s.controller.MachineTypes()) == 0 {
 		httpreply.Unavailable(reply, reasonNoCatalog)
 		return
 	}
@@ -96,7 +96,7 @@
 // id is answered with that job's state, whatever else its body holds.
 func (s *Service) rejectMalformed(body []byte, err error, reply Reply) {
 	job := idOfMalformed(body)
-	if !protocol.ValidJobID(job) || s.host.IsReserved(job) {
+	if !protocol.ValidJobID(job) || s.controller.IsReserved(job) {
 		httpreply.Problem(reply, http.StatusBadRequest, err.Error())
 		return
 	}
@@ -123,7 +123,7 @@
 // isOverloaded reports whether a submission would wait for the store for longer than its
 // user waits for the answer.
 func (s *Service) isOverloaded() bool {
-	return float64(s.host.Store().QueuedWrites()) > userPatienceSeconds*s.host.Settings().Deployment.State.WriteRPS
+	return float64(s.controller.Store().QueuedWrites()) > userPatienceSeconds*s.controller.Settings().Deployment.State.WriteRPS
 }
 
 // limitTolerance makes up for rounding where demand is compared with a limit.
@@ -131,7 +131,7 @@
 
 // checkSchedulable says why a job can never run; nil if it can.
 func (s *Service) checkSchedulable(job *protocol.Job) error {
-	team := s.host.Settings().Team(job.Team)
+	team := s.controller.Settings().Team(job.Team)
 	if team == nil {
 		return errUnknownTeam
 	}
@@ -144,7 +144,7 @@
 		return errOverTeamLimit
 	}
 	zones := map[string]bool{}
-	for _, machineType := range s.host.MachineTypes() {
+	for _, machineType := range s.controller.MachineTypes() {
 		for _, zone := range machineType.Zones {
 			if shard.CanRunOn(job, machineType, zone, false) {
 				zones[zone] = true
@@ -163,8 +163,8 @@
 
 // placeAndStore has the leader choose shards for a job, and stores it.
 func (s *Service) placeAndStore(job *protocol.Job, timing submissionTiming, reply Reply) {
-	acceptedAt := s.host.WallSeconds()
-	s.host.PlanShards(job, func(placement dispatch.Placement) {
+	acceptedAt := s.controller.WallSeconds()
+	s.controller.PlanShards(job, func(placement dispatch.Placement) {
 		timing.placedAt = s.env.Now()
 		record := &shard.JobRecord{
 			Job:         *job,
@@ -174,7 +174,7 @@
 			ChunkShards: placement.Shards,
 		}
 		record.Anywhere = job.Tasks == 1 && job.Shape == protocol.ShapeArray &&
-			s.host.Store().HasBacklog(s.host.Settings().Dispatch.Anywhere)
+			s.controller.Store().HasBacklog(s.controller.Settings().Dispatch.Anywhere)
 		s.storeJob(&timing, record, reply)
 	})
 }
@@ -183,12 +183,12 @@
 // The user is answered once the record is durable.
 func (s *Service) storeJob(timing *submissionTiming, record *shard.JobRecord, reply Reply) {
 	job := record.Job.ID
-	if len(protocol.Encode(record)) > s.host.Settings().MostRecord() {
+	if len(protocol.Encode(record)) > s.controller.Settings().MostRecord() {
 		s.rejectUnlessKnown(job, http.StatusBadRequest, errFieldsTooLong, reply)
 		return
 	}
 	single := s.newSingleReply(reply)
-	s.host.Store().Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
+	s.controller.Store().Write(kvstore.PriorityHigh, &kvstore.WriteRequest{
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
 			if single.answered {
 				return nil, nil
@@ -214,10 +214,10 @@
 		return
 	}
 	slog.Debug("userapi: job accepted", "job", job, "rank", record.Rank, "shards", record.ChunkShards)
-	s.host.AnnounceChange(job)
+	s.controller.AnnounceChange(job)
 	s.latencies.record(*timing, s.env.Now())
 	status := protocol.JobPending
-	if s.host.Dependencies().IsCancelled(job) {
+	if s.controller.Dependencies().IsCancelled(job) {
 		status = protocol.JobCancelled
 	}
 	single.send(http.StatusCreated, &protocol.JobState{ID: job, Status: status}, 0)
--- /dev/null
+++ b/internal/userapi/submit_test.go
@@ -0,0 +1,86 @@
+package userapi
+
+import (
+	"errors"
+	"net/http"
+	"testing"
+
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/settings"
+)
+
+// Why a job can never run: its team, the team's limit, the machine types, the zones.
+func TestCheckSchedulable(t *testing.T) {
+	controller := &fakeController{machineTypes: map[string]*protocol.MachineType{
+		"small": {Name: "small", Cores: 4, MemoryGB: 8, Zones: []string{"a", "b"}},
+		"large": {Name: "large", Cores: 16, MemoryGB: 64, Zones: []string{"a"}},
+	}}
+	controller.settings.Deployment.Teams = []settings.Team{{Name: "free"}, {Name: "limited", CoresMax: 8}}
+	service := New(controller, &fakeEnvironment{})
+	for _, c := range []struct {
+		name string
+		job  protocol.Job
+		want error
+	}{
+		{"an array", protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 100, Cores: 4, MemoryGB: 8}, nil},
+		{"unknown team", protocol.Job{Team: "other", Shape: protocol.ShapeArray, Tasks: 1, Cores: 1}, errUnknownTeam},
+		{"a task within the limit", protocol.Job{Team: "limited", Shape: protocol.ShapeArray, Tasks: 100, Cores: 4}, nil},
+		{"a task over the limit", protocol.Job{Team: "limited", Shape: protocol.ShapeArray, Tasks: 1, Cores: 9}, errOverTeamLimit},
+		{"a gang over the limit as a whole", protocol.Job{Team: "limited", Shape: protocol.ShapeGang, Tasks: 3, Cores: 4}, errOverTeamLimit},
+		{"larger than all types", protocol.Job{Team: "free", Shape: protocol.ShapeArray, Tasks: 1, Cores: 17}, errNoMachineType},
+		{"a spread gang", protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: 2, Cores: 4, SpreadZones: true}, nil},
+		{"a spread gang that fits in one zone only", protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: 2, Cores: 8, SpreadZones: true}, errSpreadInOneZone},
+		{"a spread gang of one task", protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: 1, Cores: 8, SpreadZones: true}, nil},
+		{"spread and in one zone", protocol.Job{Team: "free", Shape: protocol.ShapeGang, Tasks: 2, Cores: 4, SpreadZones: true, SingleZone: true}, errSpreadInOneZone},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := service.checkSchedulable(&c.job); !errors.Is(err, c.want) {
+				t.Errorf("%v, want %v", err, c.want)
+			}
+		})
+	}
+}
+
+// A submission that cannot be read has its id read alone, as it may repeat a known job.
+func TestMalformedSubmissions(t *testing.T) {
+	type fields map[string]any
+	for _, c := range []struct {
+		name    string
+		body    []byte
+		wantErr error // nil: a *protocol.FieldError
+		wantID  string
+	}{
+		{"too large", make([]byte, protocol.MaxBodyBytes+1), errTooLarge, ""},
+		{"not a map", protocol.Encode([]int{1}), errNotMap, ""},
+		{"a field of another type", protocol.Encode(fields{"id": "wk-1", "cores": "many"}), errInvalidField, "wk-1"},
+		{"an id of another type", protocol.Encode(fields{"id": 7}), errInvalidField, ""},
+		{"missing fields", protocol.Encode(fields{"id": "wk-2"}), nil, "wk-2"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := parseSubmission(c.body)
+			var fieldError *protocol.FieldError
+			switch {
+			case c.wantErr != nil && !errors.Is(err, c.wantErr):
+				t.Errorf("%v, want %v", err, c.wantErr)
+			case c.wantErr == nil && !errors.As(err, &fieldError):
+				t.Errorf("%v, want a field error", err)
+			}
+			if id := idOfMalformed(c.body); id != c.wantID {
+				t.Errorf("id %q, want %q", id, c.wantID)
+			}
+		})
+	}
+}
+
+// A request gets its first answer only.
+func TestSingleReply(t *testing.T) {
+	var statuses []int
+	single := &singleReply{reply: func(status int, _ any, _ int) { statuses = append(statuses, status) }}
+	single.send(http.StatusCreated, nil, 0)
+	if giveUp := single.unreachable(); !giveUp {
+		t.Error("a write that is answered is not given up")
+	}
+	if len(statuses) != 1 || statuses[0] != http.StatusCreated {
+		t.Errorf("answered with %v, want %d once", statuses, http.StatusCreated)
+	}
+}
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -2,6 +2,11 @@
 // cancellations (PROTOCOL, "Users -> controller nodes"). Any controller answers any user;
 // what it may say is decided by the key-value store. A job was accepted if, and only if,
 // the store has its record or its outcome.
+//
+//   - userapi.go: the Service and what it remembers of finished jobs.
+//   - submit.go, dependencies.go, cancel.go, replies.go: the requests of users.
+//   - lookup.go: what is known of a job, with proof.
+//   - latency.go: where the time of submissions goes.
 package userapi
 
 import (
@@ -17,8 +22,8 @@
 	"curlewspool/internal/shard"
 )
 
-// Host is what the service needs of its controller.
-type Host interface {
+// Controller is what the service needs of its controller.
+type Controller interface {
 	Store() *kvstore.Store
 	Settings() *settings.Settings
 	// WallSeconds is the time of day in seconds.
@@ -55,9 +60,9 @@
 
 // Service belongs to the controller's event loop.
 type Service struct {
-	host     Host
-	env      env.Environment
-	finished *shard.FinalCache
+	controller Controller
+	env        env.Environment
+	finished   *shard.FinalCache
 	// cancellations are the latest that this controller learned of, complete since the
 	// given time.
 	cancellations              []cancellation
@@ -74,10 +79,10 @@
 const finishedJobsPerMB = 20
 
 // New makes a service that remembers nothing.
-func New(host Host, environment env.Environment) *Service {
-	capacity := int(finishedJobsPerMB * host.Settings().Deployment.Limits.RAM)
+func New(controller Controller, environment env.Environment) *Service {
+	capacity := int(finishedJobsPerMB * controller.Settings().Deployment.Limits.RAM)
 	return &Service{
-		host:                       host,
+		controller:                 controller,
 		env:                        environment,
 		finished:                   shard.NewFinalCache(capacity),
 		cancellationsCompleteSince: environment.Now(),
@@ -98,7 +103,7 @@
 		s.recordCancellation(job)
 	}
 	s.finished.Add(job, outcome)
-	s.host.Dependencies().RecordOutcome(job, dependencyOutcome(outcome.Status))
+	s.controller.Dependencies().RecordOutcome(job, dependencyOutcome(outcome.Status))
 }
 
 // cancellation is a job of which this controller learned at the given time that it is
@@ -139,13 +144,13 @@
 // isLive reports whether the cache has the job. A job whose record cannot be decoded is
 // known all the same, and can be cancelled; its users would else get no answer for ever.
 func (s *Service) isLive(job string) bool {
-	_, cached := s.host.Store().Get(shard.JobKey(job))
-	return cached || s.host.Job(job) != nil
+	_, cached := s.controller.Store().Get(shard.JobKey(job))
+	return cached || s.controller.Job(job) != nil
 }
 
 // taskCount is the number of a live job's tasks; 0 if its record is not known.
 func (s *Service) taskCount(job string) int {
-	if record := s.host.Job(job); record != nil {
+	if record := s.controller.Job(job); record != nil {
 		return record.Job.Tasks
 	}
 	return 0
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -13,15 +13,18 @@
 	"curlewspool/internal/shard"
 )
 
-// fakeHost is a controller that has settings and no jobs.
-type fakeHost struct {
-	Host
-	settings settings.Settings
+// fakeController is a controller that has settings, a catalog and no jobs.
+type fakeController struct {
+	Controller
+	settings     settings.Settings
+	machineTypes map[string]*protocol.MachineType
 }
 
-func (h *fakeHost) Settings() *settings.Settings { return &h.settings }
+func (c *fakeController) MachineTypes() map[string]*protocol.MachineType { return c.machineTypes }
 
-func (h *fakeHost) Dependencies() *dependency.Graph {
+func (c *fakeController) Settings() *settings.Settings { return &c.settings }
+
+func (c *fakeController) Dependencies() *dependency.Graph {
 	return dependency.NewGraph(func(string) bool { return false })
 }
 
@@ -36,9 +39,9 @@
 const memoryMB = 98
 
 func newTestService(env *fakeEnvironment) *Service {
-	host := &fakeHost{}
-	host.settings.Deployment.Limits.RAM = memoryMB
-	return New(host, env)
+	controller := &fakeController{}
+	controller.settings.Deployment.Limits.RAM = memoryMB
+	return New(controller, env)
 }
 
 // Finished jobs are kept for ever in the state service, not in memory: what is remembered
