--- a/internal/shard/jobwrites.go
+++ b/internal/shard/jobwrites.go
@@ -29,13 +29,9 @@
 			})
 		},
 		Done: func(ok bool, _ uint64) {
-			job.finishing = false
+			job.finishing = false // if it failed, the next tick tries again
 			if ok {
 				slog.Info("shard: job done", "shard", s.ID, "job", id)
-				return
-			}
-			if s.Jobs[id] == job { // a later tick tries again
-				job.notBefore = s.controller.Now() + s.reportInterval()/4
 			}
 		},
 	})
--- a/internal/shard/machinewatch.go
+++ b/internal/shard/machinewatch.go
@@ -10,9 +10,14 @@
 // This file watches machines: leases that expire, machines that fail or are taken by the
 // cloud, and idle ones.
 
-// hopelessLeases is for how many leases a machine may fail in company of others before it
-// is retired all the same.
-const hopelessLeases = 3
+const (
+	// hopelessLeases is for how many leases a machine may fail in company of others before
+	// it is retired all the same.
+	hopelessLeases = 3
+	// silentIntervals is after how many report intervals without a report a machine counts
+	// as failing.
+	silentIntervals = 2
+)
 
 // checkMachine does what time brings for one machine.
 func (s *Shard) checkMachine(machine *Machine, now time.Duration) {
@@ -53,7 +58,7 @@
 func (s *Shard) failureOf(machine *Machine, now time.Duration) retireReason {
 	lease, interval := s.leaseDuration(), s.reportInterval()
 	silentFor := now - machine.LastContact
-	if machine.PreemptionNoticed && now > machine.PreemptionTime+interval && silentFor > 2*interval {
+	if machine.PreemptionNoticed && now > machine.PreemptionTime+interval && silentFor > silentIntervals*interval {
 		return retirePreempted
 	}
 	if s.isBeyondRepair(machine, silentFor, lease/2, now) {
@@ -115,7 +120,7 @@
 			continue
 		}
 		count.all++
-		if now-machine.LastHeartbeat > 2*s.reportInterval() || machine.IsUnreachable() {
+		if now-machine.LastHeartbeat > silentIntervals*s.reportInterval() || machine.IsUnreachable() {
 			count.failing++
 		}
 	}
--- a/internal/shard/moves.go
+++ b/internal/shard/moves.go
@@ -18,6 +18,10 @@
 // shard: the job would else move to and fro, each shard having had no time to start it.
 const starvedBoots = 2
 
+// borrowedStay is for how many report intervals a borrowed job waits in a shard at least: it
+// needs a renewal by its home cluster in each new one.
+const borrowedStay = 2
+
 // LendMachine hands a machine over to another shard as soon as nothing is, or may be, on
 // it. Until then nothing new is started there; the leader asks again.
 func (s *Shard) LendMachine(id string, to int) {
@@ -58,17 +62,16 @@
 }
 
 // canLeave tells whether chunks of a queued job may move to other shards. Those of teams
-// with a limit stay together. A borrowed job stays for longer, as it needs a renewal by
-// its home cluster in each new shard.
+// with a limit stay together; others have a scheduling pass here first.
 func (s *Shard) canLeave(job *QueuedJob, now time.Duration) bool {
 	if team := s.controller.Settings().Team(job.Record.Job.Team); team != nil && team.Limited() {
 		return false
 	}
 	waited := now - job.queuedAt
-	if job.suspect || waited < s.reportInterval()/8 {
+	if job.suspect || waited < s.passInterval() {
 		return false
 	}
-	return !job.isBorrowed() || waited >= 2*s.reportInterval()
+	return !job.isBorrowed() || waited >= borrowedStay*s.reportInterval()
 }
 
 // moveChunkOf moves the first chunk of a job for which another shard has the capacity;
--- a/internal/shard/shortfall.go
+++ b/internal/shard/shortfall.go
@@ -28,7 +28,7 @@
 	spec := &job.Record.Job
 	return s.shortfall(spec, func(machine *Machine) int {
 		isUsable := !machine.isRetiring() && !machine.IsUnreachable() &&
-			now-machine.LastHeartbeat <= 3*s.reportInterval() && machine.lentUntil <= now
+			now-machine.LastHeartbeat <= missedHeartbeats*s.reportInterval() && machine.lentUntil <= now
 		if !isUsable || s.unfitForGang(machine, job, now) {
 			return 0
 		}
--- a/internal/shard/tick.go
+++ b/internal/shard/tick.go
@@ -59,12 +59,17 @@
 // something changed, and now and then without.
 func (s *Shard) isPassDue(now time.Duration) bool {
 	since := now - s.lastPassAt
-	if since < s.reportInterval()/passesPerReportInterval {
+	if since < s.passInterval() {
 		return false
 	}
 	return s.needsPass || since > s.reportInterval()/2
 }
 
+// passInterval is the least time between two scheduling passes over all machines.
+func (s *Shard) passInterval() time.Duration {
+	return s.reportInterval() / passesPerReportInterval
+}
+
 // ScheduleMachine starts what the latest events of a machine made possible there, so that
 // the answer to its report brings the commands. A pass over all machines for each report
 // would cost more than the report: it follows at a tick.
