--- a/internal/autoscaler/booting.go
+++ b/internal/autoscaler/booting.go
@@ -20,8 +20,8 @@
 
 // Causes of cost, as keys of shard.CostByCause.
 const (
-	costOfBoot    = "boot"
-	costOfOverdue = "overdue"
+	costOfBoot    shard.CostCause = "boot"
+	costOfOverdue shard.CostCause = "overdue"
 )
 
 // bootingMachine is a machine that was rented and has no record yet.
@@ -33,7 +33,7 @@
 	foundRunning bool
 }
 
-// isOverdue tells whether the boot takes longer than boots of the type usually do.
+// isOverdue reports whether the boot takes longer than boots of the type usually do.
 func (b *bootingMachine) isOverdue(machineType *protocol.MachineType, now time.Duration) bool {
 	return (now - b.requestedAt).Seconds() > overdueFactor*machineType.BootSeconds
 }
--- a/internal/federation/host_leases.go
+++ b/internal/federation/host_leases.go
@@ -64,7 +64,7 @@
 	return key, invalidReason(&request.Job)
 }
 
-// stands tells whether an offer, which may be nil, still holds capacity for a lease.
+// stands reports whether an offer, which may be nil, still holds capacity for a lease.
 func (b *Broker) stands(offer *heldOffer, from string, request *LeaseRequest) bool {
 	return offer != nil && !offer.isTaken && offer.home == from && b.host.Now() <= offer.until &&
 		request.Job.Tasks <= offer.tasks && b.settings.Partner(from).Lends > 0
@@ -108,7 +108,7 @@
 			offer.until = b.host.Now() + 2*b.reportInterval() // held until it has started
 			b.Counters.Borrowed++
 			slog.Info("federation: remote lease accepted", "job", id, "tasks", record.Job.Tasks, "partner", record.Loan.HomeCluster)
-			b.recordEvent(id, stepBorrowed, "")
+			b.recordEvent(id, StepBorrowed, "")
 			b.host.AnnounceChange(id)
 			reply(http.StatusOK, &LeaseState{Status: StatusQueued}, 0)
 		},
