--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -6,9 +6,9 @@
 	"curlewspool/internal/shard"
 )
 
-// This file tells shards what the leader reports of the cluster's capacity.
+// This file answers what shards ask of the capacity of the whole cluster.
 
-// leaderStatus is the latest status of another controller that leads; nil: none is heard.
+// leaderStatus is the latest status of another controller that leads; nil if there is none or it is not alive.
 func (c *Controller) leaderStatus() *peermsg.Status {
 	leader := c.registry.OwnerOf(election.LeaderKey)
 	if member := c.peers[leader]; member != nil && c.isPeerAlive(leader) {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -38,7 +38,7 @@
 	cascadedCount    int                      // jobs cancelled with one that they need, likewise
 }
 
-// reset starts a new graph, when the cache is read anew; isLive reports whether the cache has
+// reset starts a new graph, when the cache is reloaded; isLive reports whether the cache has
 // a job's record.
 func (d *dependencyState) reset(isLive func(id string) bool) {
 	d.graph = dependency.NewGraph(isLive)
@@ -74,8 +74,8 @@
 // Dependencies is the graph of jobs that wait for others.
 func (c *Controller) Dependencies() *dependency.Graph { return c.dependencies.graph }
 
-// SupportsDependencies reports whether every controller that is heard understands jobs that
-// need others. One that is not heard is not waited for: it finds a record without shards.
+// SupportsDependencies reports whether every controller that is alive understands jobs that
+// need others. One that is not is not waited for: it finds a record without shards.
 func (c *Controller) SupportsDependencies() bool {
 	for name, member := range c.peers {
 		if member.status != nil && c.isPeerAlive(name) && !member.supportsDependencies() {
@@ -92,7 +92,7 @@
 }
 
 // isDependencyReleaser reports whether it is for this controller to release jobs: the leader
-// does, as it chooses the shards; while no leader is heard that can, the first by name of
+// does, as it chooses the shards; while there is none alive that can, the first by name of
 // the controllers that can.
 func (c *Controller) isDependencyReleaser() bool {
 	if !c.isReady() {
@@ -115,7 +115,7 @@
 	return false
 }
 
-// canReleaseDependencies reports whether another controller is heard, ready and of a version
+// canReleaseDependencies reports whether another controller is alive, ready and of a version
 // that releases jobs.
 func (c *Controller) canReleaseDependencies(name string) bool {
 	member := c.peers[name]
--- a/internal/controller/federationcapacity.go
+++ b/internal/controller/federationcapacity.go
@@ -11,8 +11,8 @@
 	"curlewspool/internal/shard"
 )
 
-// This file tells the broker of partner clusters what waits for room here and what room is
-// free.
+// This file answers what the broker of partner clusters asks of waiting work and of free
+// capacity.
 
 // startOfEmptyShard is when chunks are expected to start in a shard without machines.
 const startOfEmptyShard = time.Hour
--- a/internal/controller/jobplacement.go
+++ b/internal/controller/jobplacement.go
@@ -184,7 +184,7 @@
 //
 // Without a leader, or with a slow one, this controller chooses by what all owners reported
 // last, so that users need not wait for an election. At most one submission waits for a
-// leader that is gone: the next ones do not ask it until it is heard again.
+// leader that is gone: the next ones do not ask it until it sends something.
 func (c *Controller) PlanShards(job *protocol.Job, done func(placement dispatch.Placement)) {
 	placeLocally := func() { done(c.placeJob(job)) }
 	if c.isLeader() {
--- a/internal/controller/keychanges.go
+++ b/internal/controller/keychanges.go
@@ -5,6 +5,7 @@
 	"strconv"
 	"strings"
 
+	"curlewspool/internal/election"
 	"curlewspool/internal/env"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
@@ -12,7 +13,6 @@
 
 // Prefixes of the cached keys. The rosters' prefix is rosterKeyPrefix.
 const (
-	ownerKeyPrefix    = "a/o/" // of each shard and of the leader, see election.ShardKey
 	livenessKeyPrefix = "a/h/"
 	jobKeyPrefix      = "a/j/"
 	progressKeyPrefix = "a/p/"
@@ -24,7 +24,7 @@
 	switch {
 	case key == "":
 		c.onCacheAdvanced()
-	case strings.HasPrefix(key, ownerKeyPrefix):
+	case election.IsOwnershipKey(key):
 		c.registry.ApplyChange(key, value)
 	case strings.HasPrefix(key, livenessKeyPrefix):
 		c.onLivenessChange(strings.TrimPrefix(key, livenessKeyPrefix), value)
--- a/internal/controller/machinediscovery.go
+++ b/internal/controller/machinediscovery.go
@@ -31,7 +31,7 @@
 
 // probeMachine asks a machine without a record whether it is there before it is given one:
 // the report may be a late copy of one of a machine that was deleted, and work would be
-// placed on a machine that is gone. One that does not answer could not be used: the
+// placed on a machine that does not exist. One that does not answer could not be used: the
 // autoscaler gives up what the cloud lists of it as never having come up.
 func (c *Controller) probeMachine(report *protocol.Report) {
 	id := report.Machine
--- a/internal/controller/machinetransfer.go
+++ b/internal/controller/machinetransfer.go
@@ -149,7 +149,7 @@
 	toShard      int
 	missing      int            // tasks that are still without a machine
 	zone         string         // the only zone that is considered; "": any
-	tasksInZone  map[string]int // for a job spread over zones: tasks for which the shard has, or was selected, room
+	tasksInZone  map[string]int // for a job spread over zones: tasks that fit in the shard and on selected machines
 	selected     map[string]bool
 	requests     []transferRequest // in the order of selection
 }
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -2,8 +2,6 @@
 
 import (
 	"log/slog"
-	"strconv"
-	"strings"
 	"time"
 
 	"curlewspool/internal/autoscaler"
@@ -15,10 +13,10 @@
 
 // This file takes and gives up shards and the leadership, as their keys in the store say.
 
-// shardOfKey is the shard of an owner key; false: the key names none of this cluster's.
+// shardOfKey is the shard of a key of ownership; false: it is none of this cluster's.
 func (c *Controller) shardOfKey(key string) (shardID int, ok bool) {
-	shardID, err := strconv.Atoi(strings.TrimPrefix(key, ownerKeyPrefix))
-	return shardID, err == nil && shardID >= 0 && shardID < len(c.controllerNames)
+	shardID, ok = election.ParseShardKey(key)
+	return shardID, ok && shardID >= 0 && shardID < len(c.controllerNames)
 }
 
 // isLeader reports whether this controller is the leader and may act as such now.
@@ -135,7 +133,8 @@
 	})
 }
 
-// openShard starts a shard with all machines, jobs and progress that the cache has.
+// openShard starts a shard with all machines, jobs and progress that the cache has. Until bound
+// the shard assumes that a previous owner answers its machines.
 func (c *Controller) openShard(shardID int, key string, token uint64, bound time.Duration) {
 	guard := func() protocol.Condition { return c.registry.OwnershipCondition(key) }
 	opened := shard.New(shardID, token, c, guard, bound)
@@ -168,7 +167,7 @@
 }
 
 // releaseShard gives a shard up; false if a previous owner may still answer its machines,
-// which whoever takes a free shard would not know of.
+// of which the next owner would not know.
 func (c *Controller) releaseShard(shardID int) bool {
 	if owned := c.shards[shardID]; owned != nil && c.env.Now() < owned.EarlierOwnerBound() {
 		return false
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -165,8 +165,8 @@
 }
 
 // allOwnersSupportRosterMoves reports whether, as far as the cache knows, no shard is owned
-// by a controller that may be of a version which takes a machine that leaves a key for one
-// that is gone: it would start elsewhere what still runs there.
+// by a controller that may be of a version which treats a machine that leaves a key as
+// deleted: it would start elsewhere what still runs there.
 func (c *Controller) allOwnersSupportRosterMoves() bool {
 	for shardID := range c.controllerNames {
 		owner := c.registry.OwnerOf(election.ShardKey(shardID))
--- a/internal/dependency/dependency.go
+++ b/internal/dependency/dependency.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Remove is called when a job's record is gone: it has ended, with whatever outcome.
+// Remove is called when a job's record was deleted: it has ended, with whatever outcome.
 func (g *Graph) Remove(id string) {
 	removed := g.nodes[id]
 	if removed == nil {
--- a/internal/dependency/dependency_test.go
+++ b/internal/dependency/dependency_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// model computes what the graph should say anew from all facts each time.
+// model derives what the graph should report from all facts each time.
 type model struct {
 	needs    map[string][]string // of jobs that are live and wait
 	live     map[string]bool
@@ -86,7 +86,7 @@
 	test.graph.Update(id, test.jobs[id], false, Terms{})
 }
 
-// end ends a live job; its outcome becomes known before or after its record goes.
+// end ends a live job; its outcome becomes known before or after its record is dropped.
 func (test *graphTest) end(id string) {
 	if !test.model.live[id] {
 		return
@@ -148,7 +148,7 @@
 }
 
 // TestGraphAgainstModel: whatever the order in which records and outcomes become known, how
-// often, and after a restart in which all records are read anew in any order, the same jobs
+// often, and after a restart in which all records are read again in any order, the same jobs
 // are ready, cancelled and waiting as by the plain model, and nothing is kept that nobody
 // needs.
 func TestGraphAgainstModel(t *testing.T) {
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -8,7 +8,6 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"strings"
 
 	"curlewspool/internal/kvstore"
 	"curlewspool/internal/protocol"
@@ -63,7 +62,7 @@
 // ApplyChange takes a change of a cached key; those that are not of ownership are
 // ignored. A nil value means that the key was deleted.
 func (r *Registry) ApplyChange(key string, value []byte) {
-	if !strings.HasPrefix(key, ownershipPrefix) {
+	if !IsOwnershipKey(key) {
 		return
 	}
 	if value == nil {
--- a/internal/election/record.go
+++ b/internal/election/record.go
@@ -2,6 +2,7 @@
 
 import (
 	"strconv"
+	"strings"
 
 	"curlewspool/internal/protocol"
 )
@@ -23,6 +24,16 @@
 // ShardKey is the key of a shard's ownership.
 func ShardKey(shardID int) string { return ownershipPrefix + strconv.Itoa(shardID) }
 
+// IsOwnershipKey reports whether a key is a shard's or the leader's.
+func IsOwnershipKey(key string) bool { return strings.HasPrefix(key, ownershipPrefix) }
+
+// ParseShardKey returns the shard whose ownership a key is; false: it is none's.
+func ParseShardKey(key string) (shardID int, ok bool) {
+	name, isOwnership := strings.CutPrefix(key, ownershipPrefix)
+	shardID, err := strconv.Atoi(name)
+	return shardID, isOwnership && err == nil
+}
+
 // OwnerRecord is the stored value of a key of ownership.
 type OwnerRecord struct {
 	Nonce        string `cbor:"w"` // of the transaction that wrote it
