--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"testing"
+	"time"
 
 	"curlewspool/internal/agent"
 	"curlewspool/internal/peermsg"
@@ -33,3 +34,34 @@
 		}
 	}
 }
+
+// TestLargeShapesAreBounded: the shape that was not seen for longest is dropped, and of a
+// shape the most tasks are remembered.
+func TestLargeShapesAreBounded(t *testing.T) {
+	shapes := largeShapes{}
+	class := func(i int) string { return fmt.Sprintf("class-%03d", i) }
+	for i := range maxLargeShapes {
+		shapes.note(&protocol.Job{Class: class(i), Tasks: 8}, time.Duration(i+1))
+	}
+	shapes.note(&protocol.Job{Class: class(maxLargeShapes), Tasks: 4}, time.Hour)
+	if len(shapes) != maxLargeShapes {
+		t.Errorf("%d shapes are remembered, want %d", len(shapes), maxLargeShapes)
+	}
+	classes := map[string]bool{}
+	for _, large := range shapes {
+		classes[large.Job.Class] = true
+	}
+	if classes[class(0)] || !classes[class(1)] || !classes[class(maxLargeShapes)] {
+		t.Errorf("not the oldest shape was dropped: %v", classes)
+	}
+
+	shapes = largeShapes{}
+	for _, tasks := range []int{4, 16, 8} {
+		shapes.note(&protocol.Job{Class: "train", Tasks: tasks}, time.Hour)
+	}
+	for _, large := range shapes {
+		if large.Job.Tasks != 16 {
+			t.Errorf("%d tasks are remembered, want 16", large.Job.Tasks)
+		}
+	}
+}
--- a/internal/controller/jobplacement.go
+++ b/internal/controller/jobplacement.go
@@ -98,38 +98,40 @@
 	return team != nil && team.Limited()
 }
 
-// placeJob ranks a job, cuts it into chunks of so many tasks and gives each chunk a shard.
+// placeJob ranks a job, cuts it into chunks and gives each chunk a shard.
 func (c *Controller) placeJob(job *protocol.Job) dispatch.Placement {
 	rank := c.placement.ranker.Rank(job)
-	limited := c.hasTeamLimit(job)
-	maxChunks := 1
-	if job.Shape == protocol.ShapeArray && !job.SingleZone && !job.SpreadZones && !limited {
-		maxChunks = c.maxChunks(job)
-	}
-	chunkSize := (job.Tasks + maxChunks - 1) / maxChunks
-	shards := make([]int, (job.Tasks+chunkSize-1)/chunkSize)
-	if limited {
+	chunkSize := c.chunkSizeOf(job)
+	shards := make([]int, divideUp(job.Tasks, chunkSize))
+	if c.hasTeamLimit(job) {
 		home := teamShard(job.Team, len(c.controllerNames))
 		for chunk := range shards {
 			shards[chunk] = home
 		}
-		return dispatch.Placement{Rank: rank, ChunkSize: chunkSize, Shards: shards}
-	}
-	eligible := c.eligibleShards(job)
-	for chunk := range shards {
-		tasks := min(chunkSize, job.Tasks-chunk*chunkSize)
-		shards[chunk] = c.placement.choose(job, tasks, rank, eligible)
+	} else {
+		eligible := c.eligibleShards(job)
+		for chunk := range shards {
+			tasks := min(chunkSize, job.Tasks-chunk*chunkSize)
+			shards[chunk] = c.placement.choose(job, tasks, rank, eligible)
+		}
 	}
 	return dispatch.Placement{Rank: rank, ChunkSize: chunkSize, Shards: shards}
 }
 
-// maxChunks is into how many chunks an array may be cut.
-func (c *Controller) maxChunks(job *protocol.Job) int {
+// chunkSizeOf is how many tasks of a job a chunk has: all of them unless the job is an array
+// whose tasks may be in any shard.
+func (c *Controller) chunkSizeOf(job *protocol.Job) int {
+	if job.Shape != protocol.ShapeArray || job.SingleZone || job.SpreadZones || c.hasTeamLimit(job) {
+		return job.Tasks
+	}
 	limits := &c.settings.Dispatch
-	byShards := int(float64(len(c.controllerNames)) * limits.ChunksPerPart)
-	return max(1, min(byShards, job.Tasks/limits.ChunkMin))
+	maxChunks := int(float64(len(c.controllerNames)) * limits.ChunksPerPart)
+	return divideUp(job.Tasks, max(1, min(maxChunks, job.Tasks/limits.ChunkMin)))
 }
 
+// divideUp is the quotient of two positive numbers, rounded up.
+func divideUp(dividend, divisor int) int { return (dividend + divisor - 1) / divisor }
+
 // teamShard is the shard of all jobs of a team with a limit: a limit is kept by the one owner
 // that sees all the team's tasks.
 func teamShard(team string, shardCount int) int {
--- a/internal/controller/jobplacement_test.go
+++ b/internal/controller/jobplacement_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"testing"
 
+	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
@@ -41,3 +42,77 @@
 		})
 	}
 }
+
+// newPlacingController returns a controller of five shards with a big machine each, which
+// cuts arrays into chunks of at least four tasks.
+func newPlacingController() *Controller {
+	c := newFiveControllers()
+	c.settings.Rank.Max, c.settings.Rank.Window = 4, 100
+	c.settings.Dispatch.ChunksPerPart, c.settings.Dispatch.ChunkMin = 1, 4
+	c.placement = newJobPlacement(c.settings)
+	c.placement.resetQueues(len(c.controllerNames))
+	for shardID, name := range c.controllerNames {
+		c.machines[name] = &shard.MachineRecord{ID: name, Type: "big", Zone: "a", Shard: shardID}
+	}
+	return c
+}
+
+// TestPlaceJobChunks: arrays are cut into equal chunks, not more than there are shards and of
+// chunk_min tasks at least; what must stay together is one chunk.
+func TestPlaceJobChunks(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		job       protocol.Job
+		chunkSize int
+		shards    []int
+	}{
+		{"array", protocol.Job{Shape: protocol.ShapeArray, Tasks: 50}, 10, []int{0, 1, 2, 3, 4}},
+		{"array with an uneven rest", protocol.Job{Shape: protocol.ShapeArray, Tasks: 17}, 5, []int{0, 1, 2, 3}},
+		{"small array", protocol.Job{Shape: protocol.ShapeArray, Tasks: 7}, 7, []int{0}},
+		{"array in one zone", protocol.Job{Shape: protocol.ShapeArray, Tasks: 50, SingleZone: true}, 50, []int{0}},
+		{"gang", protocol.Job{Shape: protocol.ShapeGang, Tasks: 50}, 50, []int{0}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			job := test.job
+			job.Cores, job.Estimate = 1, 60
+			placement := newPlacingController().placeJob(&job)
+			if placement.ChunkSize != test.chunkSize || !slices.Equal(placement.Shards, test.shards) {
+				t.Errorf("chunks of %d tasks in shards %v, want %d in %v", placement.ChunkSize, placement.Shards, test.chunkSize, test.shards)
+			}
+		})
+	}
+}
+
+// TestTeamShard pins the shards of teams with a limit: two versions that placed a team's jobs
+// in different shards would exceed the limit.
+func TestTeamShard(t *testing.T) {
+	for team, want := range map[string]int{"": 0, "vision": 2, "language-models": 3, "a": 2} {
+		if got := teamShard(team, 5); got != want {
+			t.Errorf("shard of team %q: %d, want %d", team, got, want)
+		}
+	}
+}
+
+// TestLearnQueues: a status replaces what was known of a shard's queue; of other ranks or of
+// shards that do not exist it is ignored.
+func TestLearnQueues(t *testing.T) {
+	c := newPlacingController()
+	c.placement.learnQueues(&peermsg.Status{Shards: []*peermsg.ShardStatus{
+		{Shard: 1, QueuedWork: []float64{9, 5, 0, 0, 0}, QueuedJobs: []int32{2, 1, 0, 0, 0}},
+		{Shard: 2, QueuedWork: []float64{7, 7}, QueuedJobs: []int32{1, 1}},
+		{Shard: 3, QueuedWork: []float64{7, 7, 7, 7, 7}, QueuedJobs: []int32{1}},
+		{Shard: 5, QueuedWork: make([]float64, 5), QueuedJobs: make([]int32, 5)},
+		{Shard: -1, QueuedWork: make([]float64, 5), QueuedJobs: make([]int32, 5)},
+	}})
+	for shardID, want := range [][]float64{nil, {9, 5, 0, 0, 0}, nil, nil, nil} {
+		if want == nil {
+			want = make([]float64, 5)
+		}
+		if got := c.placement.queues[shardID].Work; !slices.Equal(got, want) {
+			t.Errorf("queued work of shard %d: %v, want %v", shardID, got, want)
+		}
+	}
+	if got := c.placement.queues[1].Jobs; !slices.Equal(got, []int{2, 1, 0, 0, 0}) {
+		t.Errorf("queued jobs of shard 1: %v", got)
+	}
+}
