--- a/internal/controller/machineplacement_test.go
+++ b/internal/controller/machineplacement_test.go
@@ -79,3 +79,45 @@
 		}
 	}
 }
+
+// TestBestShard: similar machines, then the machine's zone, then empty shards, and never one
+// that is overfull unless all are.
+func TestBestShard(t *testing.T) {
+	const maxCores = 100
+	overfull := shardCapacity{similarMachines: 9, coresOfKind: maxCores, coresInZone: maxCores, totalCores: maxCores}
+	similar := shardCapacity{similarMachines: 1, coresOfKind: 80, coresInZone: 10, totalCores: 80}
+	moreSimilar := shardCapacity{similarMachines: 2, coresOfKind: 90, coresInZone: 10, totalCores: 90}
+	ofZone := shardCapacity{coresOfKind: 60, coresInZone: 40, totalCores: 60}
+	emptyInZone := shardCapacity{hasOwnerInZone: true}
+	empty := shardCapacity{}
+	other := shardCapacity{coresOfKind: 20, totalCores: 20}
+	lighterOther := shardCapacity{coresOfKind: 10, totalCores: 10}
+	for _, test := range []struct {
+		name   string
+		isSpot bool
+		shards []shardCapacity
+		want   int
+	}{
+		{"similar before zone", false, []shardCapacity{overfull, ofZone, similar, emptyInZone}, 2},
+		{"most similar", false, []shardCapacity{similar, moreSimilar, similar}, 1},
+		{"spot machines are not gathered", true, []shardCapacity{similar, ofZone, empty}, 1},
+		{"zone before empty", false, []shardCapacity{emptyInZone, ofZone, other}, 1},
+		{"empty with the owner in the zone", false, []shardCapacity{empty, other, emptyInZone}, 2},
+		{"empty before others", false, []shardCapacity{other, empty, lighterOther}, 1},
+		{"least cores of the others", false, []shardCapacity{other, lighterOther}, 1},
+		{"others before overfull", false, []shardCapacity{overfull, other}, 1},
+		{"all overfull", false, []shardCapacity{overfull, overfull}, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			placement := &machinePlacement{
+				machine:  &shard.MachineRecord{Spot: test.isSpot},
+				cores:    4,
+				shards:   test.shards,
+				maxCores: maxCores,
+			}
+			if got := placement.bestShard(); got != test.want {
+				t.Errorf("shard %d, want %d", got, test.want)
+			}
+		})
+	}
+}
--- a/internal/controller/machinetransfer_test.go
+++ b/internal/controller/machinetransfer_test.go
@@ -44,6 +44,7 @@
 		{"none is missing", protocol.Job{Tasks: 4}, 0, nil},
 		{"one zone only", protocol.Job{Tasks: 4, SingleZone: true}, 3, []string{"empty-b", "used-b"}},
 		{"spread: the shard has its half in zone a", protocol.Job{Tasks: 4, SpreadZones: true}, 2, []string{"empty-b", "used-b"}},
+		{"spread: half of the tasks in zone b at most", protocol.Job{Tasks: 2, SpreadZones: true}, 2, []string{"empty-b"}},
 		{"no machine is large enough", protocol.Job{Tasks: 4, Cores: 99}, 3, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
