--- a/internal/shard/reservation.go
+++ b/internal/shard/reservation.go
@@ -111,7 +111,14 @@
 
 // appendStartOptions appends when ever more tasks of a job can start together on a machine
 // as its attempts end, until the number needed is reached.
-func appendStartOptions(options []startOption, free *freeCapacity, spec *protocol.Job, releases []release, needed int, now time.Duration) []startOption {
+func appendStartOptions(
+	options []startOption,
+	free *freeCapacity,
+	spec *protocol.Job,
+	releases []release,
+	needed int,
+	now time.Duration,
+) []startOption {
 	available, startsAt, most := free.resources, now, 0
 	for released := 0; ; released++ {
 		tasks := available.countFitting(spec, needed)
