--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -13,7 +13,6 @@
 import (
 	"cmp"
 	"iter"
-	"maps"
 	"slices"
 	"time"
 )
@@ -132,13 +131,22 @@
 
 // AttemptIDs lists the IDs of all attempts in rising order.
 func (m *Machine) AttemptIDs() []AttemptID {
-	return slices.SortedFunc(maps.Keys(m.Attempts), compareAttemptIDs)
+	// Not slices.SortedFunc, which grows its slice: a scheduling pass calls this for each
+	// machine.
+	ids := make([]AttemptID, 0, len(m.Attempts))
+	for id := range m.Attempts {
+		ids = append(ids, id)
+	}
+	slices.SortFunc(ids, compareAttemptIDs)
+	return ids
 }
 
 func compareAttemptIDs(a, b AttemptID) int {
-	return cmp.Or(
-		cmp.Compare(a.Job, b.Job),
-		cmp.Compare(a.Index, b.Index),
-		cmp.Compare(a.Number, b.Number),
-	)
+	if byJob := cmp.Compare(a.Job, b.Job); byJob != 0 {
+		return byJob
+	}
+	if byIndex := cmp.Compare(a.Index, b.Index); byIndex != 0 {
+		return byIndex
+	}
+	return cmp.Compare(a.Number, b.Number)
 }
