--- a/internal/controller/assignment.go
+++ b/internal/controller/assignment.go
@@ -87,7 +87,7 @@
 	for _, name := range c.controllerNames {
 		round.candidates = append(round.candidates, ownerCandidate{
 			name:        name,
-			zone:        c.memberZone(name),
+			zone:        c.members.zoneOf(name),
 			isAvailable: c.isAvailableOwner(name, now),
 			isSettled:   now-c.memberReadySince(name) >= c.handoverInterval(),
 		})
@@ -123,8 +123,8 @@
 	if name == c.settings.Name {
 		return !c.reachability.isUnreachable
 	}
-	member := c.peers[name]
-	return now-member.lastReadyAt < c.peerTimeout() && !member.status.Unreachable
+	member := c.members.peers[name]
+	return now-member.lastReadyAt < c.members.aliveTimeout() && !member.status.Unreachable
 }
 
 // lacksOwner reports whether a shard is to be assigned: its owner is absent, or it has none
--- a/internal/controller/assignment_test.go
+++ b/internal/controller/assignment_test.go
@@ -20,7 +20,7 @@
 func newLeaderOfZoneB(sockets int) (*Controller, *recordingEnvironment) {
 	c := newFiveControllers()
 	environment := &recordingEnvironment{}
-	c.env, c.peers = environment, map[string]*peer{}
+	c.env, c.members.env = environment, environment
 	c.settings.Name, c.settings.Zone = "n0", "a"
 	c.settings.Members = c.settings.Members[1:] // without this controller
 	c.settings.Deployment.Workers.Lease = 20
@@ -41,7 +41,7 @@
 		c.registry.ApplyChange(election.ShardKey(shardID), protocol.Encode(record))
 	}
 	for _, name := range []string{"n1", "n2", "n3", "n4"} {
-		c.peers[name] = &peer{
+		c.members.peers[name] = &peer{
 			lastStatusAt: environment.Now(),
 			lastReadyAt:  environment.Now(),
 			status:       &peermsg.Status{Ready: true},
--- a/internal/controller/attestation.go
+++ b/internal/controller/attestation.go
@@ -60,7 +60,7 @@
 		Keys:     c.registry.HeldKeys(),
 		MaxAgeMs: uint32(math.Ceil(longestAge / float64(time.Millisecond))),
 	}
-	for _, name := range sortedKeys(c.peers) {
+	for _, name := range c.members.names() {
 		c.attestation.awaited[name] = true
 		c.sendOwnershipConfirmation(name, request)
 	}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -11,7 +11,7 @@
 // leaderStatus is the latest status of another controller that leads; nil if there is none or it is not alive.
 func (c *Controller) leaderStatus() *peermsg.Status {
 	leader := c.registry.OwnerOf(election.LeaderKey)
-	if member := c.peers[leader]; member != nil && c.isPeerAlive(leader) {
+	if member := c.members.peers[leader]; member != nil && c.members.isAlive(leader) {
 		return member.status
 	}
 	return nil
@@ -42,7 +42,7 @@
 // includeSpot: also work that a spot machine would do for.
 func (c *Controller) HasDemandFor(machine *shard.Machine, includeSpot bool) bool {
 	machineType := c.machineTypes[machine.Type]
-	for demand := range unmetDemands(c.liveStatuses()) {
+	for demand := range unmetDemands(c.members.liveStatuses()) {
 		record := c.jobs[demand.Job]
 		if record == nil || record.Job.AllowSpot && !includeSpot {
 			continue
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -7,7 +7,8 @@
 //   - run.go, ownerloop.go, environment.go, httpserver.go, partnertransport.go: the
 //     process around the owner's goroutine
 //   - keychanges.go, progresscleanup.go: changes of the cached keys
-//   - membership.go, liveness.go, peermessages.go, statusround.go: the other controllers
+//   - membership.go, absence.go, liveness.go, peermessages.go, statusround.go: the other
+//     controllers
 //   - heartbeats.go, machinecalls.go, reachability.go: workers
 //   - attestation.go: leases that peers confirm while the key-value store is unavailable
 //   - ownership.go, assignment.go: owned shards, and their assignment by the leader
@@ -69,10 +70,9 @@
 	teamDemands    teamDemandCache
 	arrivals       *autoscaler.ArrivalRate
 
-	peers        map[string]*peer
-	ownStatus    *peermsg.Status // as it was sent last
-	readySince   time.Duration   // 0: this controller is not ready
-	nextClaimAt  time.Duration   // of the leader's key, if that is free
+	members      *membership
+	readySince   time.Duration // 0: this controller is not ready
+	nextClaimAt  time.Duration // of the leader's key, if that is free
 	liveness     livenessPublisher
 	reachability reachability
 	attestation  attestation
@@ -106,7 +106,7 @@
 		shards:          map[int]*shard.Shard{},
 		largeShapes:     largeShapes{},
 		classDeadlines:  map[string][]float64{},
-		peers:           newPeers(cfg),
+		members:         newMembership(metered, cfg),
 		placement:       newJobPlacement(cfg),
 		cost:            machineCost{byCause: shard.CostByCause{}},
 	}
@@ -201,9 +201,14 @@
 
 func (c *Controller) leaseRenewInterval() time.Duration { return env.Seconds(c.settings.RenewEvery()) }
 
+// minStatusInterval bounds the rate of the status messages when worker leases are short.
+const minStatusInterval = 250 * time.Millisecond
+
 // statusInterval is the period of the status messages between controllers.
-func (c *Controller) statusInterval() time.Duration {
-	return max(c.workerLease()/40, 250*time.Millisecond)
+func (c *Controller) statusInterval() time.Duration { return statusInterval(c.settings) }
+
+func statusInterval(cfg *settings.Settings) time.Duration {
+	return max(env.Seconds(cfg.Deployment.Workers.Lease)/40, minStatusInterval)
 }
 
 // eachShard visits the shards that this controller holds, in the order of their IDs.
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -77,8 +77,8 @@
 // SupportsDependencies reports whether every controller that is alive understands jobs that
 // need others. One that is not is not waited for: it finds a record without shards.
 func (c *Controller) SupportsDependencies() bool {
-	for name, member := range c.peers {
-		if member.status != nil && c.isPeerAlive(name) && !member.supportsDependencies() {
+	for name, member := range c.members.peers {
+		if member.status != nil && c.members.isAlive(name) && !member.supportsDependencies() {
 			return false
 		}
 	}
@@ -118,8 +118,8 @@
 // canReleaseDependencies reports whether another controller is alive, ready and of a version
 // that releases jobs.
 func (c *Controller) canReleaseDependencies(name string) bool {
-	member := c.peers[name]
-	if member == nil || member.status == nil || !c.isPeerAlive(name) {
+	member := c.members.peers[name]
+	if member == nil || member.status == nil || !c.members.isAlive(name) {
 		return false
 	}
 	return member.status.Ready && member.supportsDependencies()
--- a/internal/controller/enrolment.go
+++ b/internal/controller/enrolment.go
@@ -101,7 +101,7 @@
 // partition the controller on this side records machines itself, on condition that they
 // have no record.
 func (c *Controller) isCutOffFromLeader() bool {
-	return !c.isLeader() && c.isReady() && !c.isPeerAlive(c.registry.OwnerOf(election.LeaderKey))
+	return !c.isLeader() && c.isReady() && !c.members.isAlive(c.registry.OwnerOf(election.LeaderKey))
 }
 
 // mayRecordMachines reports whether it is for this controller to give machines a record.
--- a/internal/controller/federationcapacity.go
+++ b/internal/controller/federationcapacity.go
@@ -46,7 +46,7 @@
 func (c *Controller) WaitingChunks() []*federation.WaitingChunk {
 	cores := c.coresByShard()
 	var waiting []*federation.WaitingChunk
-	for demand := range unmetDemands(c.liveStatuses()) {
+	for demand := range unmetDemands(c.members.liveStatuses()) {
 		waiting = append(waiting, c.waitingChunksOf(demand, cores)...)
 	}
 	return waiting
@@ -106,7 +106,7 @@
 // machineTypesInDemand are the machine types that unmet demands of this cluster could use.
 func (c *Controller) machineTypesInDemand() map[string]bool {
 	inDemand := map[string]bool{}
-	for demand := range unmetDemands(c.liveStatuses()) {
+	for demand := range unmetDemands(c.members.liveStatuses()) {
 		record := c.jobs[demand.Job]
 		if record == nil {
 			continue
@@ -122,7 +122,7 @@
 // machines of types that are not needed otherwise.
 func (c *Controller) startableByShard(job *protocol.Job, neededTypes map[string]bool) []int {
 	startable := make([]int, len(c.controllerNames))
-	for reported := range shardStatuses(c.liveStatuses()) {
+	for reported := range shardStatuses(c.members.liveStatuses()) {
 		shardID := int(reported.Shard)
 		if shardID < 0 || shardID >= len(startable) {
 			continue
@@ -154,7 +154,7 @@
 // start anywhere.
 func (c *Controller) shardWithMostRoom(job *protocol.Job) int {
 	best, most := -1, 0
-	for reported := range shardStatuses(c.liveStatuses()) {
+	for reported := range shardStatuses(c.members.liveStatuses()) {
 		tasks := 0
 		for _, free := range reported.FreeCapacity {
 			tasks += shard.CountFitting(c, job, free, true)
--- a/internal/controller/fixtures_test.go
+++ b/internal/controller/fixtures_test.go
@@ -24,6 +24,7 @@
 			"big":   {Name: "big", Cores: 32, MemoryGB: 128},
 		},
 	}
+	c.members = &membership{env: &recordingEnvironment{}, settings: c.settings, peers: map[string]*peer{}}
 	for i := range 5 {
 		name := fmt.Sprintf("n%d", i)
 		zone := []string{"a", "b"}[i%2]
--- a/internal/controller/headroom.go
+++ b/internal/controller/headroom.go
@@ -82,7 +82,7 @@
 // countSpares counts the whole machines of a machine's type and kind that shards report.
 func (c *Controller) countSpares(machine *shard.Machine, isByZone bool) spareMachines {
 	spares := spareMachines{byZone: map[string]int{}}
-	for reported := range shardStatuses(c.liveStatuses()) {
+	for reported := range shardStatuses(c.members.liveStatuses()) {
 		for _, free := range reported.FreeCapacity {
 			if free.Reclaimable && free.Type == machine.Type && free.Spot == machine.Spot {
 				spares.add(free, machine, isByZone)
--- a/internal/controller/headroom_test.go
+++ b/internal/controller/headroom_test.go
@@ -24,7 +24,7 @@
 			Reclaimable: true,
 		})
 	}
-	c.ownStatus = &peermsg.Status{Shards: []*peermsg.ShardStatus{status}}
+	c.members.ownStatus = &peermsg.Status{Shards: []*peermsg.ShardStatus{status}}
 	job := &protocol.Job{Shape: protocol.ShapeGang, Tasks: 3, Cores: 30, MemoryGB: 100, SingleZone: true}
 	for i, want := range []bool{true, true, true, false, false, false} {
 		free := status.FreeCapacity[i]
--- a/internal/controller/jobnotices.go
+++ b/internal/controller/jobnotices.go
@@ -20,7 +20,7 @@
 }
 
 func (c *Controller) broadcastNotice(notice *peermsg.JobNotice) {
-	for _, name := range sortedKeys(c.peers) {
+	for _, name := range c.members.names() {
 		c.env.Send(name, &peermsg.Envelope{Body: &peermsg.Envelope_JobNotice{JobNotice: notice}})
 	}
 }
--- a/internal/controller/jobplacement.go
+++ b/internal/controller/jobplacement.go
@@ -194,8 +194,8 @@
 		return
 	}
 	leader := c.registry.OwnerOf(election.LeaderKey)
-	member := c.peers[leader]
-	if member == nil || !c.isPeerAlive(leader) || member.unresponsive {
+	member := c.members.peers[leader]
+	if member == nil || !c.members.isAlive(leader) || member.unresponsive {
 		placeLocally()
 		return
 	}
--- a/internal/controller/keychanges.go
+++ b/internal/controller/keychanges.go
@@ -46,7 +46,7 @@
 // onLivenessChange notes that a member has renewed its liveness key. What the cache loads
 // first may be old and is not counted.
 func (c *Controller) onLivenessChange(name string, value []byte) {
-	if member := c.peers[name]; member != nil && value != nil && c.store.IsLoaded() {
+	if member := c.members.peers[name]; member != nil && value != nil && c.store.IsLoaded() {
 		member.livenessSeenAt = c.env.Now()
 	}
 }
--- a/internal/controller/machineplacement.go
+++ b/internal/controller/machineplacement.go
@@ -68,7 +68,7 @@
 		placement.cores = machineType.Cores
 	}
 	for shardID, name := range c.controllerNames {
-		placement.shards[shardID].hasOwnerInZone = c.memberZone(name) == machine.Zone
+		placement.shards[shardID].hasOwnerInZone = c.members.zoneOf(name) == machine.Zone
 	}
 	coresToShare := coresLeft
 	for _, other := range c.machines {
--- a/internal/controller/machinetransfer.go
+++ b/internal/controller/machinetransfer.go
@@ -26,7 +26,7 @@
 // small for: such a gang is in effect the head of the queue of all shards. So is the oldest
 // of those that are overdue and find nothing free in theirs.
 func (c *Controller) transferMachines() {
-	statuses := c.liveStatuses()
+	statuses := c.members.liveStatuses()
 	demands := c.collectTransferDemands(statuses)
 	c.oversizedGangs = demands.oversizedGangs
 	oldest := demands.oldest
@@ -242,7 +242,7 @@
 
 // moveChunks has the shards owned here hand queued chunks to shards with free room.
 func (c *Controller) moveChunks() {
-	statuses := slices.Collect(shardStatuses(c.liveStatuses()))
+	statuses := slices.Collect(shardStatuses(c.members.liveStatuses()))
 	c.eachShard(func(candidate *shard.Shard) {
 		if c.ownedShard(candidate.ID) != nil {
 			candidate.MoveQueuedChunk(statuses)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"curlewspool/internal/env"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/settings"
 )
@@ -24,20 +25,6 @@
 // maxEndedIncarnations is how many earlier processes of a member are remembered.
 const maxEndedIncarnations = 8
 
-// newPeers lists the other controllers. Before its first message each counts as silent
-// for an hour.
-func newPeers(cfg *settings.Settings) map[string]*peer {
-	peers := map[string]*peer{}
-	for _, member := range cfg.Members {
-		peers[member.Name] = &peer{
-			lastStatusAt:   -time.Hour,
-			lastReadyAt:    -time.Hour,
-			livenessSeenAt: -time.Hour,
-		}
-	}
-	return peers
-}
-
 // acceptIncarnation notes the process that sent a message and returns false if that
 // process has ended. (A process that is back within a fraction of a second was never
 // seen to be gone; messages of its predecessor may still be on the way.)
@@ -79,102 +66,99 @@
 	return p.status != nil && !p.status.Ready && p.status.StoreAgeMs > 0 && now-p.storeAnsweredAt > limit
 }
 
-// peerTimeout is how long a member may be silent and still count as alive.
-func (c *Controller) peerTimeout() time.Duration { return 3 * c.statusInterval() }
-
-// isPeerAlive reports whether a member's messages arrive.
-func (c *Controller) isPeerAlive(name string) bool {
-	member := c.peers[name]
-	return member == nil || c.env.Now()-member.lastStatusAt < c.peerTimeout()
+// membership is what this controller knows of all controllers from their messages.
+type membership struct {
+	env       env.Environment
+	settings  *settings.Settings
+	peers     map[string]*peer // the other controllers, by name
+	ownStatus *peermsg.Status  // as this controller sent it last; nil: not yet
 }
 
-// isAbsent reports whether another controller has not been ready for so long, while this
-// one has been, that its keys are to be taken over.
-func (c *Controller) isAbsent(name string) bool {
-	member := c.peers[name]
-	if member == nil {
-		return name != c.settings.Name
-	}
-	if !c.isReady() {
-		return false
-	}
-	now := c.env.Now()
-	readyFor := now - c.readySince
-	// It says itself that the key-value store has not answered it for long, while this
-	// controller is answered, and has been for longer than others take to find that an
-	// outage is over. Waiting as for one that is silent would leave its shard without an
-	// owner for half a minute after an outage.
-	lease := c.workerLease()
-	if c.isPeerAlive(name) && member.reportsStoreOutage(now, lease/4) && readyFor > lease/8 {
-		return true
+// newMembership lists the other controllers. Before its first message each counts as
+// silent for an hour.
+func newMembership(environment env.Environment, cfg *settings.Settings) *membership {
+	m := &membership{env: environment, settings: cfg, peers: map[string]*peer{}}
+	for _, member := range cfg.Members {
+		m.peers[member.Name] = &peer{
+			lastStatusAt:   -time.Hour,
+			lastReadyAt:    -time.Hour,
+			livenessSeenAt: -time.Hour,
+		}
 	}
-	limit := c.absenceLimit(name)
-	return now-max(member.lastReadyAt, member.livenessSeenAt) > limit && readyFor > limit
+	return m
 }
 
-// absenceLimit is how long a member may be silent before it counts as absent.
-func (c *Controller) absenceLimit(name string) time.Duration {
-	limit := time.Duration(float64(c.workerLease()) * c.settings.Grants.Absent)
-	if c.isBypassed(name) {
-		// Its workers' leases are running out. This is still more than the time in
-		// which a process is restarted, which then takes its own keys back.
-		return limit * 7 / 10
-	}
-	return limit
+// names lists the other controllers in order.
+func (m *membership) names() []string { return sortedKeys(m.peers) }
+
+// aliveTimeout is how long a member may be silent and still count as alive.
+func (m *membership) aliveTimeout() time.Duration { return 3 * statusInterval(m.settings) }
+
+// isAlive reports whether a member's messages arrive. This controller always is.
+func (m *membership) isAlive(name string) bool {
+	member := m.peers[name]
+	return member == nil || m.env.Now()-member.lastStatusAt < m.aliveTimeout()
 }
 
-// isIsolated reports whether neither the key-value store nor any other controller reaches
-// this one; its workers and users may.
-func (c *Controller) isIsolated() bool {
-	now, limit := c.env.Now(), 4*c.statusInterval()
-	failingSince := c.store.Health().FailingSince
-	if failingSince == 0 || now-failingSince < limit || len(c.peers) == 0 {
-		return false
-	}
-	for _, member := range c.peers {
-		if now-member.lastStatusAt < limit {
+func (m *membership) areAllAlive() bool {
+	for name := range m.peers {
+		if !m.isAlive(name) {
 			return false
 		}
 	}
 	return true
 }
 
-// memberReadySince is when a member became ready, as far as this controller knows.
-func (c *Controller) memberReadySince(name string) time.Duration {
-	if member := c.peers[name]; member != nil {
-		return member.readySince
+// isAnyHeardWithin reports whether a status of some other controller arrived of late.
+func (m *membership) isAnyHeardWithin(age time.Duration) bool {
+	now := m.env.Now()
+	for _, member := range m.peers {
+		if now-member.lastStatusAt < age {
+			return true
+		}
+	}
+	return false
+}
+
+// isAnyAnsweredSince reports whether the key-value store has answered some other
+// controller after a moment.
+func (m *membership) isAnyAnsweredSince(moment time.Duration) bool {
+	for _, member := range m.peers {
+		if member.storeAnsweredAt > moment {
+			return true
+		}
 	}
-	return c.readySince
+	return false
 }
 
-// memberZone is the zone of a member; this controller's for an unknown one.
-func (c *Controller) memberZone(name string) string {
-	for _, member := range c.settings.Members {
+// zoneOf is the zone of a member; this controller's for an unknown one.
+func (m *membership) zoneOf(name string) string {
+	for _, member := range m.settings.Members {
 		if member.Name == name {
 			return member.Zone
 		}
 	}
-	return c.settings.Zone
+	return m.settings.Zone
 }
 
 // liveStatuses lists the latest statuses of the members that are alive, by name, and
 // then this controller's own.
-func (c *Controller) liveStatuses() []*peermsg.Status {
+func (m *membership) liveStatuses() []*peermsg.Status {
 	var statuses []*peermsg.Status
-	c.eachLiveStatus(func(_ string, status *peermsg.Status) {
+	m.eachLiveStatus(func(_ string, status *peermsg.Status) {
 		statuses = append(statuses, status)
 	})
 	return statuses
 }
 
 // eachLiveStatus visits the same statuses with their controllers' names.
-func (c *Controller) eachLiveStatus(visit func(name string, status *peermsg.Status)) {
-	for _, name := range sortedKeys(c.peers) {
-		if member := c.peers[name]; member.status != nil && c.isPeerAlive(name) {
+func (m *membership) eachLiveStatus(visit func(name string, status *peermsg.Status)) {
+	for _, name := range m.names() {
+		if member := m.peers[name]; member.status != nil && m.isAlive(name) {
 			visit(name, member.status)
 		}
 	}
-	if c.ownStatus != nil {
-		visit(c.settings.Name, c.ownStatus)
+	if m.ownStatus != nil {
+		visit(m.settings.Name, m.ownStatus)
 	}
 }
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -8,14 +8,14 @@
 
 // HandlePeerMessage handles a message from another controller.
 func (c *Controller) HandlePeerMessage(envelope *peermsg.Envelope) {
-	sender := c.peers[envelope.From]
+	sender := c.members.peers[envelope.From]
 	if sender == nil || !sender.acceptIncarnation(envelope.Incarnation, c.env.Now()) {
 		return
 	}
 	sender.unresponsive = false
 	switch body := envelope.Body.(type) {
 	case *peermsg.Envelope_Status:
-		sender.applyStatus(body.Status, c.env.Now(), c.peerTimeout())
+		sender.applyStatus(body.Status, c.env.Now(), c.members.aliveTimeout())
 		c.placement.learnQueues(body.Status)
 	case *peermsg.Envelope_PlacementRequest:
 		c.handlePlacementRequest(envelope.From, body.PlacementRequest)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -97,7 +97,7 @@
 // of a shard report.
 func (c *Controller) reachedInsteadOfOwner(shardID int) reachedController {
 	name, most := "", 0
-	c.eachLiveStatus(func(controller string, status *peermsg.Status) {
+	c.members.eachLiveStatus(func(controller string, status *peermsg.Status) {
 		for _, report := range status.ReachabilityReports {
 			if int(report.Shard) == shardID && int(report.Machines) > most {
 				name, most = controller, int(report.Machines)
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -97,7 +97,6 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := newFiveControllers()
-			c.env, c.peers = &recordingEnvironment{}, map[string]*peer{}
 			c.settings.Deployment.Workers.Lease = 20
 			for i := range test.machines {
 				id := string(rune('a' + i))
@@ -105,7 +104,7 @@
 			}
 			for name, machines := range test.reports {
 				reports := []*peermsg.ReachabilityReport{{Shard: 2, Machines: machines}, {Shard: 1, Machines: 9}}
-				c.peers[name] = &peer{lastStatusAt: c.env.Now(), status: &peermsg.Status{ReachabilityReports: reports}}
+				c.members.peers[name] = &peer{lastStatusAt: c.members.env.Now(), status: &peermsg.Status{ReachabilityReports: reports}}
 			}
 			if got := c.reachedInsteadOfOwner(2); got != test.want {
 				t.Errorf("got %+v, want %+v", got, test.want)
--- a/internal/controller/roster.go
+++ b/internal/controller/roster.go
@@ -173,7 +173,7 @@
 		if owner == "" || owner == c.settings.Name {
 			continue
 		}
-		if member := c.peers[owner]; member == nil || !member.supportsDependencies() {
+		if member := c.members.peers[owner]; member == nil || !member.supportsDependencies() {
 			return false
 		}
 	}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -16,7 +16,7 @@
 	if len(c.machineTypes) == 0 {
 		return
 	}
-	statuses := c.liveStatuses()
+	statuses := c.members.liveStatuses()
 	arrivingCores := func(rank int) float64 {
 		return c.arrivals.CoresAboveRank(rank, env.Seconds(c.WallSeconds()))
 	}
--- a/internal/controller/statusround.go
+++ b/internal/controller/statusround.go
@@ -18,7 +18,7 @@
 	status := c.newStatus(now)
 	c.accountCost(now)
 	c.placement.learnQueues(status)
-	c.ownStatus = status
+	c.members.ownStatus = status
 	if c.isLeader() {
 		c.assignShards()
 		c.scaleOut()
@@ -60,7 +60,7 @@
 }
 
 func (c *Controller) broadcastStatus(status *peermsg.Status) {
-	for _, name := range sortedKeys(c.peers) {
+	for _, name := range c.members.names() {
 		c.env.Send(name, &peermsg.Envelope{Body: &peermsg.Envelope_Status{Status: status}})
 	}
 }
--- a/internal/controller/userapi.go
+++ b/internal/controller/userapi.go
@@ -44,7 +44,7 @@
 func (c *Controller) IsHealthy() bool {
 	hasStarted := c.store.IsLoaded() && len(c.machineTypes) > 0
 	if !hasStarted {
-		return !c.hasPeerAnsweredSince(0)
+		return !c.members.isAnyAnsweredSince(0)
 	}
 	if !c.store.IsUnavailable() {
 		return true
@@ -54,16 +54,5 @@
 	}
 	failingSince := c.store.Health().FailingSince
 	margin := c.statusInterval() / 4 // more than clocks and messages are off
-	return !c.hasPeerAnsweredSince(failingSince + margin)
-}
-
-// hasPeerAnsweredSince reports whether the key-value store has answered some other
-// controller after a moment.
-func (c *Controller) hasPeerAnsweredSince(moment time.Duration) bool {
-	for _, member := range c.peers {
-		if member.storeAnsweredAt > moment {
-			return true
-		}
-	}
-	return false
+	return !c.members.isAnyAnsweredSince(failingSince + margin)
 }
