--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -20,7 +20,7 @@
 // SpotSuffices reports whether, as the leader says, spot jobs are in time without on-demand
 // machines that were rented.
 func (c *Controller) SpotSuffices() bool {
-	if c.isLeader() {
+	if c.IsLeader() {
 		return c.autoscaler.HasOnDemandSurplus()
 	}
 	status := c.leaderStatus()
@@ -30,7 +30,7 @@
 // BootingCores is the equal share that each shard may expect of the machines that boot, as
 // the leader says, and in how many seconds.
 func (c *Controller) BootingCores() (cores, inSeconds float64) {
-	if c.isLeader() {
+	if c.IsLeader() {
 		cores, inSeconds = c.autoscaler.BootingCapacity()
 	} else if status := c.leaderStatus(); status != nil {
 		cores, inSeconds = status.BootingCores, status.BootRemainingS
--- a/internal/controller/cost.go
+++ b/internal/controller/cost.go
@@ -45,7 +45,7 @@
 			s.AddCost(elapsed, c.cost.byCause)
 		}
 	})
-	if c.isLeader() {
+	if c.IsLeader() {
 		c.autoscaler.AddBootCosts(elapsed, c.cost.byCause)
 	}
 	c.cost.logAt(now)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -98,7 +98,7 @@
 	if !c.isReady() {
 		return false
 	}
-	if c.isLeader() {
+	if c.IsLeader() {
 		return true
 	}
 	if c.canReleaseDependencies(c.registry.OwnerOf(election.LeaderKey)) {
--- a/internal/controller/enrolment.go
+++ b/internal/controller/enrolment.go
@@ -101,11 +101,11 @@
 // partition the controller on this side records machines itself, on condition that they
 // have no record.
 func (c *Controller) isCutOffFromLeader() bool {
-	return !c.isLeader() && c.isReady() && !c.isPeerAlive(c.registry.OwnerOf(election.LeaderKey))
+	return !c.IsLeader() && c.isReady() && !c.isPeerAlive(c.registry.OwnerOf(election.LeaderKey))
 }
 
 // mayRecordMachines reports whether it is for this controller to give machines a record.
-func (c *Controller) mayRecordMachines() bool { return c.isLeader() || c.isCutOffFromLeader() }
+func (c *Controller) mayRecordMachines() bool { return c.IsLeader() || c.isCutOffFromLeader() }
 
 // writeRosterGroup writes what is pending of a group.
 func (c *Controller) writeRosterGroup(group int) {
@@ -114,7 +114,7 @@
 		Build: func(nonce string) ([]protocol.Condition, []protocol.Mutation) {
 			var conditions []protocol.Condition
 			switch {
-			case c.isLeader():
+			case c.IsLeader():
 				conditions = append(conditions, c.registry.OwnershipCondition(election.LeaderKey))
 			case !c.isCutOffFromLeader():
 				return nil, nil
--- a/internal/controller/federation.go
+++ b/internal/controller/federation.go
@@ -55,7 +55,7 @@
 		reply(http.StatusBadRequest, &protocol.ErrorResponse{Error: "not understood"}, 0)
 		return
 	}
-	if !c.isLeader() {
+	if !c.IsLeader() {
 		reply(http.StatusMisdirectedRequest, &protocol.ErrorResponse{Error: "not the leader"}, 0)
 		return
 	}
@@ -65,9 +65,6 @@
 // Rand is the controller's source of randomness.
 func (c *Controller) Rand() *rand.Rand { return c.env.Rand() }
 
-// IsLeader reports whether this controller is the leader and its lease is valid.
-func (c *Controller) IsLeader() bool { return c.isLeader() }
-
 // LeaderCondition is the condition under which a transaction is applied only while this
 // controller leads.
 func (c *Controller) LeaderCondition() protocol.Condition {
--- a/internal/controller/jobplacement.go
+++ b/internal/controller/jobplacement.go
@@ -189,7 +189,7 @@
 // leader that is gone: the next ones do not ask it until it sends something.
 func (c *Controller) PlanShards(job *protocol.Job, done func(placement dispatch.Placement)) {
 	placeLocally := func() { done(c.placeJob(job)) }
-	if c.isLeader() {
+	if c.IsLeader() {
 		placeLocally()
 		return
 	}
--- a/internal/controller/machinediscovery.go
+++ b/internal/controller/machinediscovery.go
@@ -56,7 +56,7 @@
 	if c.machines[id] != nil || c.enrolment.additions[id] != nil {
 		return false
 	}
-	return !c.isLeader() || !c.autoscaler.IsDeleted(id)
+	return !c.IsLeader() || !c.autoscaler.IsDeleted(id)
 }
 
 // recordMachine gives a machine that is there a record.
@@ -67,7 +67,7 @@
 		Type:    report.Type,
 		Zone:    report.Zone,
 		Spot:    report.Spot,
-		Owned:   c.isLeader() && !c.autoscaler.MayHaveRented(report.Machine),
+		Owned:   c.IsLeader() && !c.autoscaler.MayHaveRented(report.Machine),
 	}
 	record.Shard = c.shardFor(record, 0)
 	c.enrolment.additions[record.ID] = record
--- a/internal/controller/ownership.go
+++ b/internal/controller/ownership.go
@@ -19,8 +19,9 @@
 	return shardID, ok && shardID >= 0 && shardID < len(c.controllerNames)
 }
 
-// isLeader reports whether this controller is the leader and may act as such now.
-func (c *Controller) isLeader() bool {
+// IsLeader reports whether this controller is the leader and may act as such now: it holds the
+// leader's key and its lease is valid.
+func (c *Controller) IsLeader() bool {
 	return c.autoscaler != nil && c.registry.Holds(election.LeaderKey) && c.store.Lease.IsValid()
 }
 
--- a/internal/controller/peermessages.go
+++ b/internal/controller/peermessages.go
@@ -50,7 +50,7 @@
 // Who does not lead, or cannot read the job, leaves it unanswered.
 func (c *Controller) handlePlacementRequest(sender string, request *peermsg.PlacementRequest) {
 	job := &protocol.Job{}
-	if !c.isLeader() || protocol.Decode(request.Job, job) != nil || job.Tasks < 1 {
+	if !c.IsLeader() || protocol.Decode(request.Job, job) != nil || job.Tasks < 1 {
 		return
 	}
 	placement := c.placeJob(job)
--- a/internal/controller/statusround.go
+++ b/internal/controller/statusround.go
@@ -19,12 +19,12 @@
 	c.accountCost(now)
 	c.placement.learnQueues(status)
 	c.ownStatus = status
-	if c.isLeader() {
+	if c.IsLeader() {
 		c.assignShards()
 		c.scaleOut()
 		c.transferMachines()
 	}
-	if c.isLeader() { // still: the work above may have found that leadership is lost
+	if c.IsLeader() { // still: the work above may have found that leadership is lost
 		status.SpotSuffices = c.autoscaler.HasOnDemandSurplus()
 		status.BootingCores, status.BootRemainingS = c.autoscaler.BootingCapacity()
 	}
