--- a/internal/controller/chunkoffload.go
+++ b/internal/controller/chunkoffload.go
@@ -2,13 +2,25 @@
 
 import (
 	"log/slog"
+	"slices"
 
 	"curlewspool/internal/election"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/shard"
 )
 
-// This file takes orders that a chunk be lent to a partner cluster to the chunk's owner.
+// This file has queued chunks moved: to other shards, and to partner clusters, for which the
+// orders go to the chunk's owner.
+
+// moveChunks has the shards owned here hand queued chunks to shards with free room.
+func (c *Controller) moveChunks() {
+	statuses := slices.Collect(shardStatuses(c.liveStatuses()))
+	c.eachShard(func(candidate *shard.Shard) {
+		if c.ownedShard(candidate.ID) != nil {
+			candidate.MoveQueuedChunk(statuses)
+		}
+	})
+}
 
 // OrderLend hands an order to lend a chunk to the owner of the chunk's shard; without an owner
 // the order is dropped.
--- a/internal/controller/machinetransfer.go
+++ b/internal/controller/machinetransfer.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"slices"
-
 	"curlewspool/internal/election"
 	"curlewspool/internal/peermsg"
 	"curlewspool/internal/protocol"
@@ -239,13 +237,3 @@
 		owned.LendMachine(request.Machine, int(request.ToShard))
 	}
 }
-
-// moveChunks has the shards owned here hand queued chunks to shards with free room.
-func (c *Controller) moveChunks() {
-	statuses := slices.Collect(shardStatuses(c.liveStatuses()))
-	c.eachShard(func(candidate *shard.Shard) {
-		if c.ownedShard(candidate.ID) != nil {
-			candidate.MoveQueuedChunk(statuses)
-		}
-	})
-}
