--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -105,7 +105,7 @@
 	unanswered      []*unansweredRental // repeated under their names
 	backoffs        map[offering]backoff
 	rentalsInFlight int
-	onDemandSurplus bool
+	spotSuffices    bool
 
 	lastListed  map[string]time.Duration // by machine
 	lastListing time.Duration            // when the latest listing began
@@ -166,10 +166,10 @@
 	return a.requestCount > 0 || len(a.unanswered) > 0
 }
 
-// HasOnDemandSurplus reports whether spot jobs meet their deadlines without the on-demand
+// SpotSuffices reports whether spot jobs meet their deadlines without the on-demand
 // machines that were rented. Such machines then take no more spot jobs and are returned
 // when they are empty.
-func (a *Autoscaler) HasOnDemandSurplus() bool { return a.onDemandSurplus }
+func (a *Autoscaler) SpotSuffices() bool { return a.spotSuffices }
 
 // budgetSeconds is how much of the request budget can be saved up.
 const budgetSeconds = 2
--- a/internal/autoscaler/demand.go
+++ b/internal/autoscaler/demand.go
@@ -18,10 +18,10 @@
 // spotDemand is what waits of spot jobs, against the capacity that could take it.
 type spotDemand struct {
 	waitingCores float64 // that the waiting tasks take
-	// onDemandSurplus: the jobs are in time without the on-demand machines rented.
-	onDemandSurplus bool
-	shortfalls      []shortfall // of what is late without more machines
-	rentedCores     float64     // that this round rents
+	// spotSuffices: the jobs are in time without the on-demand machines rented.
+	spotSuffices bool
+	shortfalls   []shortfall // of what is late without more machines
+	rentedCores  float64     // that this round rents
 }
 
 // shortfall is a lack of cores for what is due within a time.
@@ -98,7 +98,7 @@
 func (a *Autoscaler) estimateDemand(state *ClusterState, now time.Duration) spotDemand {
 	available := a.supply(state, now)
 	heldCores := state.Running.OnDemandCores
-	demand := spotDemand{onDemandSurplus: true}
+	demand := spotDemand{spotSuffices: true}
 	var queue []dueWork
 	for i := range state.Unplaced {
 		work := &state.Unplaced[i]
@@ -119,7 +119,7 @@
 		missing := neededCores - available.meanCores(due.dueInSeconds, heldCores)
 		demand.shortfalls = append(demand.shortfalls, shortfall{due.dueInSeconds, missing})
 		if missing+available.onDemandCores > 0 {
-			demand.onDemandSurplus = false
+			demand.spotSuffices = false
 		}
 	}
 	return demand
--- a/internal/autoscaler/demand_test.go
+++ b/internal/autoscaler/demand_test.go
@@ -30,7 +30,7 @@
 		unplaced            []UnplacedWork
 		running             RunningLoad
 		wantQuick, wantSlow bool // more of the type are wanted
-		wantSurplus         bool
+		wantSuffices        bool
 	}{
 		{"nothing waits", upMachines(2, true), nil, RunningLoad{}, false, false, true},
 		{"in time on spot machines", upMachines(4, true), []UnplacedWork{array(100, 0, 300)}, RunningLoad{}, false, false, true},
@@ -47,8 +47,8 @@
 			state.Running = c.running
 			demand := estimate(state)
 			quick, slow := demand.missingCores(quickBootSeconds) > 0, demand.missingCores(slowBootSeconds) > 0
-			if quick != c.wantQuick || slow != c.wantSlow || demand.onDemandSurplus != c.wantSurplus {
-				t.Errorf("quick %v, slow %v, surplus %v; want %v, %v, %v", quick, slow, demand.onDemandSurplus, c.wantQuick, c.wantSlow, c.wantSurplus)
+			if quick != c.wantQuick || slow != c.wantSlow || demand.spotSuffices != c.wantSuffices {
+				t.Errorf("quick %v, slow %v, spot suffices %v; want %v, %v, %v", quick, slow, demand.spotSuffices, c.wantQuick, c.wantSlow, c.wantSuffices)
 			}
 		})
 	}
--- a/internal/autoscaler/scaleout.go
+++ b/internal/autoscaler/scaleout.go
@@ -22,7 +22,7 @@
 	a.repeatUnanswered()
 	sortForPlacement(state.Unplaced)
 	plan := a.newRentalPlan(a.estimateDemand(state, now))
-	a.onDemandSurplus = plan.demand.onDemandSurplus
+	a.spotSuffices = plan.demand.spotSuffices
 	for i := range state.Unplaced {
 		a.planFor(&state.Unplaced[i], plan, now)
 	}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -21,7 +21,7 @@
 // machines that were rented.
 func (c *Controller) SpotSuffices() bool {
 	if c.isLeader() {
-		return c.autoscaler.HasOnDemandSurplus()
+		return c.autoscaler.SpotSuffices()
 	}
 	status := c.leaderStatus()
 	return status != nil && status.SpotSuffices
--- a/internal/controller/statusround.go
+++ b/internal/controller/statusround.go
@@ -25,7 +25,7 @@
 		c.transferMachines()
 	}
 	if c.isLeader() { // still: the work above may have found that leadership is lost
-		status.SpotSuffices = c.autoscaler.HasOnDemandSurplus()
+		status.SpotSuffices = c.autoscaler.SpotSuffices()
 		status.BootingCores, status.BootRemainingS = c.autoscaler.BootingCapacity()
 	}
 	c.moveChunks()
--- a/internal/federation/events.go
+++ b/internal/federation/events.go
@@ -19,7 +19,7 @@
 // Event is one step of a hand-over, for people and for traces: the same lease has events
 // at home and at the host.
 type Event struct {
-	Loan       string  `cbor:"l" json:"loan"`
+	Lease      string  `cbor:"l" json:"loan"`
 	Cluster    string  `cbor:"c" json:"cluster"`
 	Controller string  `cbor:"h" json:"host"`
 	Step       Step    `cbor:"w" json:"what"`
@@ -55,7 +55,7 @@
 // recordEvent notes a step of a lease now. The reason may be empty.
 func (b *Broker) recordEvent(leaseID string, step Step, reason string) {
 	b.events.add(Event{
-		Loan:       leaseID,
+		Lease:      leaseID,
 		Cluster:    b.settings.Cluster,
 		Controller: b.controller.Settings().Name,
 		Step:       step,
--- a/internal/federation/home_leases.go
+++ b/internal/federation/home_leases.go
@@ -192,11 +192,11 @@
 		job.Deadline = max(1, job.Deadline-(b.controller.WallSeconds()-record.AcceptedAt))
 	}
 	request := &LeaseRequest{
-		ID:     id,
-		Job:    job,
-		Offer:  lease.away.OfferID,
-		Done:   rangesWithin(record.DoneRanges, lease.key.FirstTask, lease.tasks),
-		TermMs: lease.away.TermMillis,
+		ID:         id,
+		Job:        job,
+		Offer:      lease.away.OfferID,
+		Done:       rangesWithin(record.DoneRanges, lease.key.FirstTask, lease.tasks),
+		TermMillis: lease.away.TermMillis,
 	}
 	lease.isHandingOver = true
 	state := &LeaseState{}
--- a/internal/federation/home_renewals.go
+++ b/internal/federation/home_renewals.go
@@ -18,7 +18,7 @@
 		return
 	}
 	p := b.settings.Partner(from)
-	theirs := time.Duration(request.LeaseMs) * time.Millisecond
+	theirs := time.Duration(request.LeaseMillis) * time.Millisecond
 	if p.Lease > 0 && theirs > p.Lease {
 		slog.Error("federation: a partner's machine lease is longer than the settings say: nothing may run there",
 			"partner", from, "theirs", theirs, "settings", p.Lease)
--- a/internal/federation/host_leases.go
+++ b/internal/federation/host_leases.go
@@ -42,7 +42,7 @@
 			HomeJobID:   key.Job,
 			FirstTask:   key.FirstTask,
 			LoanNumber:  key.Number,
-			TermMillis:  request.TermMs,
+			TermMillis:  request.TermMillis,
 		},
 	}
 	if len(protocol.Encode(record)) > b.controller.Settings().MostRecord() {
@@ -58,7 +58,7 @@
 	switch {
 	case !ok || request.Job.ID != request.ID:
 		return key, "the loan's name is not one of its home"
-	case request.TermMs < minTermMs || request.TermMs > maxTermMs:
+	case request.TermMillis < minTermMillis || request.TermMillis > maxTermMillis:
 		return key, "term"
 	}
 	return key, invalidReason(&request.Job)
--- a/internal/federation/host_renewals.go
+++ b/internal/federation/host_renewals.go
@@ -52,8 +52,8 @@
 	}
 	p.isRequestingRenewals = true
 	request := &RenewalsRequest{
-		LeaseMs: int64(b.controller.Settings().Deployment.Workers.Lease * 1000),
-		Leases:  slices.Sorted(maps.Keys(leases)),
+		LeaseMillis: int64(b.controller.Settings().Deployment.Workers.Lease * 1000),
+		Leases:      slices.Sorted(maps.Keys(leases)),
 	}
 	response := &RenewalsResponse{}
 	b.callPartner(p, PathRenewals, request, response, func(status int) {
--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -26,8 +26,8 @@
 
 // The shortest and the longest term that a host accepts, in milliseconds.
 const (
-	minTermMs = 1000
-	maxTermMs = 3600_000
+	minTermMillis = 1000
+	maxTermMillis = 3600_000
 )
 
 // ResourceRequest is work that waits at home.
@@ -56,11 +56,11 @@
 
 // LeaseRequest hands a lease over. It is idempotent.
 type LeaseRequest struct {
-	ID     string       `cbor:"id"` // of the borrowed job, see remotelease.Key.JobID
-	Job    protocol.Job `cbor:"j"`
-	Offer  uint64       `cbor:"of"`
-	Done   [][2]int     `cbor:"d,omitempty"`
-	TermMs int64        `cbor:"tm"`
+	ID         string       `cbor:"id"` // of the borrowed job, see remotelease.Key.JobID
+	Job        protocol.Job `cbor:"j"`
+	Offer      uint64       `cbor:"of"`
+	Done       [][2]int     `cbor:"d,omitempty"`
+	TermMillis int64        `cbor:"tm"`
 }
 
 // StatesRequest is the body of PathStates. Leases in End are over at home; those in Recall
@@ -97,8 +97,8 @@
 
 // RenewalsRequest asks whether leases may go on.
 type RenewalsRequest struct {
-	LeaseMs int64    `cbor:"lm"` // of the host's machines
-	Leases  []string `cbor:"l"`
+	LeaseMillis int64    `cbor:"lm"` // of the host's machines
+	Leases      []string `cbor:"l"`
 }
 
 // RenewalsResponse splits them: Hold may go on for the term of the lease from when the
--- a/internal/tracing/tracing.go
+++ b/internal/tracing/tracing.go
@@ -55,10 +55,10 @@
 func groupByLoan(events []federation.Event) (names []string, byLoan map[string][]federation.Event) {
 	byLoan = map[string][]federation.Event{}
 	for _, event := range events {
-		if len(byLoan[event.Loan]) == 0 {
-			names = append(names, event.Loan)
+		if len(byLoan[event.Lease]) == 0 {
+			names = append(names, event.Lease)
 		}
-		byLoan[event.Loan] = append(byLoan[event.Loan], event)
+		byLoan[event.Lease] = append(byLoan[event.Lease], event)
 	}
 	sort.Strings(names)
 	for _, steps := range byLoan {
--- a/internal/tracing/tracing_test.go
+++ b/internal/tracing/tracing_test.go
@@ -13,10 +13,10 @@
 // again they are the same one.
 func TestExport(t *testing.T) {
 	events := []federation.Event{
-		{Loan: "wk-at.west.1.0.a", Cluster: "east", Controller: "n1", Step: "borrowed", At: 100.5},
-		{Loan: "wk-at.west.1.0.b", Cluster: "west", Controller: "n0", Step: "lent", Reason: "would start here in 20 s, there in 6 s", At: 101},
-		{Loan: "wk-at.west.1.0.a", Cluster: "west", Controller: "n0", Step: "lent", At: 100},
-		{Loan: "wk-at.west.1.0.a", Cluster: "west", Controller: "n0", Step: "back", Reason: "its term ran out", At: 130},
+		{Lease: "wk-at.west.1.0.a", Cluster: "east", Controller: "n1", Step: "borrowed", At: 100.5},
+		{Lease: "wk-at.west.1.0.b", Cluster: "west", Controller: "n0", Step: "lent", Reason: "would start here in 20 s, there in 6 s", At: 101},
+		{Lease: "wk-at.west.1.0.a", Cluster: "west", Controller: "n0", Step: "lent", At: 100},
+		{Lease: "wk-at.west.1.0.a", Cluster: "west", Controller: "n0", Step: "back", Reason: "its term ran out", At: 130},
 	}
 	var first string
 	for range 2 {
