--- a/internal/simulator/cluster_queries_test.go
+++ b/internal/simulator/cluster_queries_test.go
@@ -19,7 +19,7 @@
 	return c.Controllers["n0"]
 }
 
-// nonLeaderOwner is a controller that owns a part and does not lead.
+// nonLeaderOwner is a controller that owns a shard and does not lead.
 func (c *Cluster) nonLeaderOwner() *ControllerProcess {
 	for _, name := range c.runningControllers() {
 		if process := c.Controllers[name]; process != c.leaderProcess() && len(process.Controller.DebugState().Shards) > 0 {
@@ -52,7 +52,7 @@
 	return []string{cluster.leaderProcess().name, cluster.largestOwner().name}
 }
 
-// ownerOf is the controller that owns the part of a machine.
+// ownerOf is the controller that owns the shard of a machine.
 func (c *Cluster) ownerOf(machine *Machine) *ControllerProcess {
 	return c.Controllers[c.controllerNames[machine.controllerIndex%len(c.controllerNames)]]
 }
@@ -86,7 +86,7 @@
 }
 
 // staleCaches lists what controllers have in their caches that the state service does not
-// have, or has otherwise, and what their parts have of jobs that are over, when all has
+// have, or has otherwise, and what their shards have of jobs that are over, when all has
 // been calm for long.
 func (c *Cluster) staleCaches() (wrong []string) {
 	for _, name := range c.runningControllers() {
--- a/internal/simulator/controller_failure_test.go
+++ b/internal/simulator/controller_failure_test.go
@@ -97,7 +97,7 @@
 }
 
 // Controllers refuse each other's connections: what one accepts reaches the
-// owners through the state service, and nobody takes a part away.
+// owners through the state service, and nobody takes a shard away.
 func TestControllersPartitionedFromEachOther(t *testing.T) {
 	cluster := playTraced(t, "controllers-partitioned", 21, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
@@ -112,8 +112,8 @@
 	}
 }
 
-// The state service refuses one controller alone: it answers its workers until
-// its grant could be over, others take its parts before leases end.
+// The state service refuses one controller alone: it answers its machines until
+// its own lease could be over, others take its shards before leases end.
 func TestControllerRefusedByStateService(t *testing.T) {
 	cluster := playTraced(t, "controller-refused", 22, 110, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
@@ -128,8 +128,8 @@
 	}
 }
 
-// A controller loses only its workers: it is well in all other eyes. It gives
-// its parts up because others hear its machines, and none of them loses its
+// A controller loses only its machines: it is well in all other eyes. It gives
+// its shards up because others hear its machines, and none of them loses its
 // lease.
 func TestOwnerPartitionedFromMachines(t *testing.T) {
 	cluster := playTraced(t, "owner-partitioned-from-machines", 35, 150, func(cluster *Cluster) {
--- a/internal/simulator/controller_pause_test.go
+++ b/internal/simulator/controller_pause_test.go
@@ -15,7 +15,7 @@
 // whoever is asked (the state service by the owner's revision, a machine by fencing token
 // and session, a user by a proof asked for after the question) refuses what is old.
 
-// A short stop costs nothing: no part changes hands, no task starts again.
+// A short stop costs nothing: no shard changes hands, no task starts again.
 func TestBriefControllerPause(t *testing.T) {
 	cluster := playTraced(t, "paused-moment", 31, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
@@ -29,8 +29,8 @@
 	}
 }
 
-// One that stands still for longer than its grant: its workers go to the others,
-// who see it by that and take its parts before leases end. What it had decided
+// One that is paused for longer than its own lease: its machines go to the others,
+// who see it by that and take its shards before leases end. What it had decided
 // comes too late when it wakes.
 func TestControllerPausedPastItsLease(t *testing.T) {
 	for name, who := range map[string]func(*Cluster) *ControllerProcess{"paused-leader": (*Cluster).leaderProcess, "paused-owner": (*Cluster).nonLeaderOwner} {
@@ -65,7 +65,7 @@
 	expectStatus(t, cluster, protocol.JobDone, "wk-2")
 }
 
-// All stand still at once, with a rush on its way.
+// All are paused at once, with a rush on its way.
 func TestAllControllersPaused(t *testing.T) {
 	cluster := playTraced(t, "paused-all", 34, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
--- a/internal/simulator/delayed_writes_test.go
+++ b/internal/simulator/delayed_writes_test.go
@@ -105,14 +105,14 @@
 // A chunk's move gets no answer and is carried out seconds later. Nothing of the chunk may
 // start where it was until it is known what became of the move: given up as one that was
 // not made, it came true after its tasks had started there, and they started again in the
-// other part.
+// other shard.
 func TestDelayedChunkMoves(t *testing.T) {
 	met := 0
 	for seed := uint64(1420); seed < 1432; seed++ {
 		cluster := NewCluster(seed)
 		cluster.ServeAPI()
 		addMachines(cluster, 9, 0)
-		cluster.makePartsUneven()
+		cluster.makeShardsUneven()
 		moved := cluster.delayWritesFor(6, 60, 0.8, 2, 12, func(o []protocol.Mutation) bool {
 			return len(o) > 0 && strings.HasPrefix(o[0].Put, shard.JobKey("")) && cluster.State.entries[o[0].Put].Revision > 0
 		})
@@ -155,7 +155,7 @@
 				cluster.Controllers[name].Crash()
 				cluster.after(time.Second, cluster.Controllers[name].Start)
 			}
-			for range 6 { // room in each part
+			for range 6 { // room in each shard
 				cluster.AddMachine("small", "a", false)
 			}
 			cluster.after(40*time.Second, func() {
@@ -207,8 +207,8 @@
 	}
 }
 
-// A chunk moves to another part, the state service carries that out at once and answers
-// late, and in between the job is called off through another controller. The mover, who
+// A chunk moves to another shard, the state service carries that out at once and answers
+// late, and in between the job is cancelled through another controller. The mover, who
 // had been told of the deletion, took the answer for news: the job lived on in its cache
 // for good, was asked for and told as pending, and was started again.
 func TestCancellationDuringChunkMove(t *testing.T) {
@@ -223,8 +223,8 @@
 			}
 			return 0
 		}
-		cluster.DropCancellationNotices = seed%2 == 1 // the word of the cancellation covers most of it
-		cluster.makePartsUneven()
+		cluster.DropCancellationNotices = seed%2 == 1 // the notice of the cancellation covers most of it
+		cluster.makeShardsUneven()
 		cluster.onChunkMove(6, func(id string) {
 			met++
 			cluster.requestCancellation(id)
@@ -247,7 +247,7 @@
 }
 
 // An owner is cut from the state service; what it sent arrives after another
-// has taken its part. Its late writes must fail.
+// has taken its shard. Its late writes must fail.
 func TestLateTransactions(t *testing.T) {
 	playTraced(t, "late-transactions", 6, 150, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
--- a/internal/simulator/dependency_scenarios_test.go
+++ b/internal/simulator/dependency_scenarios_test.go
@@ -70,7 +70,7 @@
 	}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 		expectStatus(t, cluster, protocol.JobCancelled, "wk-4", "wk-5")
 	}},
-	// The zones are cut apart as the first stage ends: the second one's parts are in both.
+	// The zones are cut apart as the first stage ends: the second one's shards are in both.
 	{"zones-apart-at-the-release", func(cluster *Cluster, _ []*Machine) []string {
 		cluster.At(18, func() { cluster.At(40, cluster.PartitionZone("b")) })
 		return cluster.submitPipeline(8)
--- a/internal/simulator/dependency_test.go
+++ b/internal/simulator/dependency_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// Every controller says with whose cancellation a job was withdrawn, also one that hears of
+// Every controller says with whose cancellation a job was cancelled, also one that hears of
 // the job's own end before it hears of the cancelled one's: notices come from two senders.
 // (CI found it: the end was remembered without its cause.)
 func TestEveryControllerReportsCancellationCause(t *testing.T) {
--- a/internal/simulator/election_test.go
+++ b/internal/simulator/election_test.go
@@ -10,7 +10,7 @@
 
 // The leader ends; while another is chosen, and after, a second controller and a third
 // end and are back within a fraction of a second. Whenever that is, somebody leads, all
-// parts are owned within a lease and a half, no rule breaks and all is done.
+// shards are owned within a lease and a half, no rule breaks and all is done.
 func TestRestartDuringElection(t *testing.T) {
 	for i := range 32 {
 		cluster := newMonitoredCluster(uint64(1300+i), 30)
@@ -49,7 +49,7 @@
 	}
 }
 
-// The leader, or the owner of most machines, is alone with its workers and users for a
+// The leader, or the owner of most machines, is alone with its machines and users for a
 // moment, for longer than a lease and for a minute; jobs are cancelled, accepted and done
 // through the others. No rule breaks, and all is known again and served.
 func TestControllerIsolatedWithItsMachines(t *testing.T) {
--- a/internal/simulator/failing_jobs_test.go
+++ b/internal/simulator/failing_jobs_test.go
@@ -36,7 +36,7 @@
 }
 
 // After a restart of all controllers a mistaken job is tried where its tries had been,
-// not at once in each part as if for the first time.
+// not at once in each shard as if for the first time.
 func TestFailingJobBackoffSurvivesRestart(t *testing.T) {
 	cluster := NewCluster(24)
 	cluster.ServeAPI()
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -150,9 +150,9 @@
 	c.At(to, func() { c.DuplicateReports = nil })
 }
 
-// duplicateOrdersFor has a share of the orders to machines arrive again, least to most seconds
+// duplicateCommandsFor has a share of the commands to machines arrive again, least to most seconds
 // after they were carried out.
-func (c *Cluster) duplicateOrdersFor(from, to, share, least, most float64) {
+func (c *Cluster) duplicateCommandsFor(from, to, share, least, most float64) {
 	c.At(from, func() {
 		c.DuplicateRequest = func(to string) time.Duration {
 			if !strings.Contains(to, "w-i-") || c.random.Float64() >= share {
@@ -182,7 +182,7 @@
 }
 
 // loseMachines has the owner of most machines reached by none of them, so that it gives
-// its parts up.
+// its shards up.
 func loseMachines(cluster *Cluster, at float64) {
 	cluster.At(at, func() {
 		name := cluster.largestOwner().name
@@ -263,7 +263,7 @@
 	}
 }
 
-// useTightLeases leaves a third as much for a grant as the lease: about as in the users' large
+// useTightLeases leaves a third as much for a controller's lease as for a machine's: about as in the users' large
 // deployments. tighter leaves a tenth.
 func (c *Cluster) useTightLeases() { c.setLeaseTimes(3, 15.5, 28) }
 
--- a/internal/simulator/federation_handover_test.go
+++ b/internal/simulator/federation_handover_test.go
@@ -98,7 +98,7 @@
 }
 
 // A job is cancelled at each step, and the partner cannot be told: within
-// cancel_s nothing of it is on any machine (the stand-in's users look).
+// cancel_s nothing of it is on any machine (the simulated users look).
 func TestCancellationAtEachHandoverStep(t *testing.T) {
 	for at := 5.5; at < 21; at += 0.9 {
 		for _, cut := range []bool{false, true} {
--- a/internal/simulator/federation_helpers_test.go
+++ b/internal/simulator/federation_helpers_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// expectFinished checks that every job is done, or withdrawn, and no loan is left.
+// expectFinished checks that every job is done, or cancelled, and no loan is left.
 func expectFinished(t *testing.T, west, east *Cluster, status protocol.JobStatus, ids ...string) {
 	t.Helper()
 	expectNoLoans(t, west, east)
--- a/internal/simulator/gang_test.go
+++ b/internal/simulator/gang_test.go
@@ -24,8 +24,8 @@
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
 }
 
-// A gang larger than any part: machines are lent to its part, and it starts
-// as a whole though small work keeps all parts busy.
+// A gang larger than any shard: machines are lent to its shard, and it starts
+// as a whole though small work keeps all shards busy.
 func TestGangAcrossShards(t *testing.T) {
 	cluster := playTraced(t, "gang-across-shards", 14, 120, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
--- a/internal/simulator/invalid_reports_test.go
+++ b/internal/simulator/invalid_reports_test.go
@@ -99,9 +99,9 @@
 	}
 }
 
-// Machines answer orders and questions with what is no report, is of another machine,
+// Machines answer commands and polls with what is no report, is of another machine,
 // shows a token that nobody gave, or is of a session before. None ends a process or is
-// taken for what became of the orders: no rule breaks, no token is drawn for it, and
+// taken for what became of the commands: no rule breaks, no token is drawn for it, and
 // all is done once they answer well.
 func TestInvalidCommandResponsesAreIgnored(t *testing.T) {
 	for i, test := range []struct {
--- a/internal/simulator/machine_failure_test.go
+++ b/internal/simulator/machine_failure_test.go
@@ -19,7 +19,7 @@
 	expectStatus(t, cluster, protocol.JobDone, "wk-1")
 }
 
-// A hung machine resumes within its lease, with orders that were held back.
+// A hung machine resumes within its lease, with commands that were held back.
 func TestHungMachineResumesWithinItsLease(t *testing.T) {
 	cluster := playTraced(t, "hung-machine", 8, 110, func(cluster *Cluster) {
 		machines := addMachines(cluster, 4, 0)
--- a/internal/simulator/more_overlapping_faults_test.go
+++ b/internal/simulator/more_overlapping_faults_test.go
@@ -12,7 +12,7 @@
 // moreCombinedFaultScenarios are days on which failures of machines, zones and controllers
 // meet requests of users.
 var moreCombinedFaultScenarios = []scenario{
-	// Six jobs are called off within a fifth of a second while five of their machines
+	// Six jobs are cancelled within a fifth of a second while five of their machines
 	// hang; a moment later the state service refuses the leader alone, and a second
 	// later it is down for longer than cancel_s.
 	{"cancelled-at-the-refusal", func(cluster *Cluster, machines []*Machine) []string {
@@ -62,7 +62,7 @@
 	}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 		expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
 	}},
-	// The part that keeps a team's limit loses all its machines, and the cloud has no
+	// The shard that keeps a team's limit loses all its machines, and the cloud has no
 	// others: it is lent what is idle elsewhere. Found by random days: the team's jobs
 	// waited for ever.
 	{"team-limit-without-machines", func(cluster *Cluster, machines []*Machine) []string {
@@ -73,7 +73,7 @@
 		return []string{"wk-4", "wk-5"}
 	}, nil},
 	// Two machines open no connection to any controller for longer than two leases;
-	// orders reach them. What is there is lost with its lease, and begins elsewhere;
+	// commands reach them. What is there is lost with its lease, and begins elsewhere;
 	// nothing more is sent there until they report again.
 	{"outbound-partitioned-machines", func(cluster *Cluster, machines []*Machine) []string {
 		cluster.partitionOutbound(11, 45, machines[2], machines[3])
@@ -175,7 +175,7 @@
 		}
 		return []string{"wk-4"}
 	}, nil},
-	// The leader has its workers and users alone for over a minute; jobs are cancelled
+	// The leader has its machines and users alone for over a minute; jobs are cancelled
 	// and accepted through the others meanwhile, and it is back at once with all.
 	{"isolated-for-over-a-minute", func(cluster *Cluster, _ []*Machine) []string {
 		cluster.At(11, func() { cluster.after(72*time.Second, cluster.IsolateController(cluster.leaderProcess().name)) })
@@ -187,8 +187,8 @@
 	}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
 		expectStatus(t, cluster, protocol.JobCancelled, "wk-4")
 	}},
-	// Half of a chunk is done when its part loses its machines, the rest moves to other
-	// parts; copies of the reports that listed what is done, and what ran, come for long.
+	// Half of a chunk is done when its shard loses its machines, the rest moves to other
+	// shards; copies of the reports that listed what is done, and what ran, come for long.
 	{"copies-of-a-moved-chunk", func(cluster *Cluster, machines []*Machine) []string {
 		cluster.duplicateReportsUntil(60, 3, 9, 20, 30)
 		cluster.Submit(14, NewSubmission("wk-4", protocol.ShapeArray, 24, 1, 5))
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -39,7 +39,7 @@
 	}},
 	{"outage-after-a-restart", func(cluster *Cluster, _ []*Machine) []string {
 		cluster.crashFor(12, 15, cluster.controllerNames...)
-		cluster.At(15.02, func() { cluster.State.StartOutage(6 * time.Second) }) // they have their grants, not their parts
+		cluster.At(15.02, func() { cluster.State.StartOutage(6 * time.Second) }) // they have their leases, not their shards
 		return submitBurst(cluster, 14, 3, 4, 5)
 	}},
 	{"zone-partitioned-and-paused-owner", func(cluster *Cluster, _ []*Machine) []string {
@@ -102,7 +102,7 @@
 
 // combinedFaultScenarios are days on which two failures meet, one of them of messages.
 var combinedFaultScenarios = []scenario{
-	// Launches and halts reach their machine 5 s late, one of them after the session
+	// Launches and stops reach their machine 5 s late, one of them after the session
 	// that they are for; answers of others are lost though they were carried out.
 	{"commands-delayed", func(cluster *Cluster, machines []*Machine) []string {
 		cluster.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
@@ -112,7 +112,7 @@
 		cluster.cutLinksFor(10, 27, cluster.machineLinks(machines[0]))
 		return []string{"wk-4", "wk-5"}
 	}, nil},
-	// A is refused until B has its part, B ends, A takes it back, all within seconds;
+	// A is refused until B has its shard, B ends, A takes it back, all within seconds;
 	// then all end and one returns before the others.
 	{"shard-there-and-back", func(cluster *Cluster, _ []*Machine) []string {
 		a := cluster.controllerNames[1]
@@ -148,7 +148,7 @@
 		cluster.partitionInboundFor(11.5, 45, machines[3])
 		return nil
 	}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
-		// 14 s after the grant that may have answered it last, not before.
+		// 14 s after the renewal that may have answered it last, not before.
 		for _, task := range []string{"wk-1/0", "wk-1/1"} {
 			if n := strings.Count(cluster.TraceText(), "starts "+task+"\n"); n < 1 || n > 2 {
 				t.Errorf("%s started %d times", task, n)
@@ -182,7 +182,7 @@
 		cluster.At(17, cluster.Start)
 		return []string{"wk-4", "wk-5"}
 	}, nil},
-	// The leader is cut from the state service and the others; workers and users
+	// The leader is cut from the state service and the others; machines and users
 	// still reach it. wk-3 and wk-4 are cancelled through the new one; asked, the old
 	// one tells nobody that they are pending or run.
 	{"leader-isolated", func(cluster *Cluster, _ []*Machine) []string {
@@ -242,11 +242,11 @@
 		cluster.Cancel(18.5, "wk-5")
 		return []string{"wk-4"}
 	}, nil},
-	// All orders arrive again, up to 12 s after they were carried out, while work of a
+	// All commands arrive again, up to 12 s after they were carried out, while work of a
 	// lower rank is stopped for two gangs and begins elsewhere. Found by this day: a
 	// copy of a launch started a task again that had been stopped and reaped.
 	{"commands-duplicated", func(cluster *Cluster, _ []*Machine) []string {
-		cluster.duplicateOrdersFor(4, 40, 1, 0.2, 12)
+		cluster.duplicateCommandsFor(4, 40, 1, 0.2, 12)
 		low := bestEffort(4, 1)
 		high := withPriority("high")
 		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 20, low))
--- a/internal/simulator/ownership_change_test.go
+++ b/internal/simulator/ownership_change_test.go
@@ -7,9 +7,9 @@
 )
 
 // A zone is cut off with an owner in it, which goes on answering the machines
-// there for as long as its grant may last. Who took its part from it ends and
-// comes back meanwhile, and takes the part back as its own: it must still wait
-// for that grant before it counts the machines' leases.
+// there for as long as its own lease may last. Who took its shard from it ends and
+// comes back meanwhile, and takes the shard back as its own: it must still wait
+// for that lease before it counts the machines' leases.
 func TestNewOwnerFailsWhileOldOwnerAnswers(t *testing.T) {
 	for after := 6.0; after <= 14; after++ {
 		cluster := NewCluster(40 + uint64(after))
@@ -32,7 +32,7 @@
 }
 
 // The same with times of day that are as far apart as the settings allow, here by
-// seconds. Who took the part, with a clock that is behind, ends for longer; another, whose
+// seconds. Who took the shard, with a clock that is behind, ends for longer; another, whose
 // clock is ahead, takes it when its key is gone: by its clock the old owner's time is over.
 func TestNewOwnerFailsWithClockSkew(t *testing.T) {
 	for after := 5.0; after <= 14; after += 1.5 {
--- a/internal/simulator/partition_scenarios_test.go
+++ b/internal/simulator/partition_scenarios_test.go
@@ -51,7 +51,7 @@
 		return append(submitBurst(cluster, 14, 3, 4, 4), "wk-4")
 	}, nil},
 	// Before: wk-4 waited for 190 s. No answer under the new owner's token ever came,
-	// leases that reports seemed to renew did not end, and the part went from owner
+	// leases that reports seemed to renew did not end, and the shard went from owner
 	// to owner, as its machines seemed to reach each of the others.
 	{"several-unreachable-for-ever-and-their-owner-lost", func(cluster *Cluster, machines []*Machine) []string {
 		cluster.At(12, func() {
--- a/internal/simulator/random_combined_faults_test.go
+++ b/internal/simulator/random_combined_faults_test.go
@@ -13,8 +13,8 @@
 	"curlewspool/internal/protocol"
 )
 
-// combinedFaults are the users' second list for random days (see delayedMessages): each is
-// two or three troubles in the same moments, and random days have others beside them.
+// combinedFaults are two or three faults in the same moments each; random days have others
+// beside them.
 var combinedFaults = []fault{
 	{"users ask all nodes within milliseconds", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() { cluster.pollEveryController(random, 0.2) })
@@ -144,8 +144,8 @@
 	}},
 }
 
-// The list for random days holds what it says: a day of each by itself, with no other
-// trouble beside it, breaks no rule and ends.
+// A day with each combined fault by itself, with no other beside it, breaks no rule and
+// ends.
 func TestEachCombinedFault(t *testing.T) {
 	t.Parallel()
 	for i, c := range combinedFaults {
--- a/internal/simulator/random_days_test.go
+++ b/internal/simulator/random_days_test.go
@@ -233,7 +233,7 @@
 
 // Random days on which they vouch, with the combined failures that matter to it more often: an
 // outage longer than cancel_s on each, cancellations around its beginning and in it, and
-// parts that change hands shortly before.
+// shards that change hands shortly before.
 func TestRandomVouchedOutages(t *testing.T) { randomDays(t, *firstDay+vouchedOutageDays) }
 
 // Random days with the users' second list.
@@ -247,10 +247,10 @@
 	for _, seed := range []int{
 		200018, 200229, 200244, 200352, 200586, 200590, 200681, // jobs of a team whose part has no machine left
 		203025, // a gang that was stopped twice before its launch
-		20046,  // the rest of an array in one zone, in a part without more machines there
+		20046,  // the rest of an array in one zone, in a shard without more machines there
 		5110,   // a gang and a machine that is in doubt for ever
 		300683, // a gang apart, and machines that are rented in the wrong zone
-		200526, // of the judge: an unaccepted job's repetition without a field gets 400
+		200526, // of the checks: an unaccepted job's repetition without a field gets 400
 	} {
 		if _, script, wrong := play(seed); len(wrong) > 0 {
 			t.Errorf("day %d: %s\n  with %s", seed, strings.Join(wrong, "; "), strings.Join(script, ", "))
@@ -258,7 +258,7 @@
 	}
 }
 
-// An array that had started in a part stayed there, however few machines that had, though
+// An array that had started in a shard stayed there, however few machines that had, though
 // others had room (day 10526: one machine for 16 tasks, beside idle ones that went back).
 func TestStartedArrayUsesCapacityElsewhere(t *testing.T) {
 	if _, script, wrong := play(10526); len(wrong) > 0 {
--- a/internal/simulator/random_delayed_message_faults_test.go
+++ b/internal/simulator/random_delayed_message_faults_test.go
@@ -9,20 +9,20 @@
 	"curlewspool/internal/protocol"
 )
 
-// delayedMessages are what the users saw rules break by, where two troubles meet. Each is a
-// pair of them by itself; random days have two or three beside another trouble.
+// delayedMessages are faults of messages, and pairs of faults that meet; random days have
+// two or three of them beside another fault.
 var delayedMessages = []fault{
-	{"orders are held up", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"commands are delayed", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 0.01, 12*random.Float64(), "/orders")
 	}},
-	{"answers to orders are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"answers to commands are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 0.01, "/orders", "/status")
 	}},
 	{"answers to reports are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 6, "/v1/report")
 	}},
-	{"orders are repeated", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.duplicateOrdersFor(at, at+2*length, 0.5, 0.2, 15)
+	{"commands are repeated", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.duplicateCommandsFor(at, at+2*length, 0.5, 0.2, 15)
 	}},
 	{"writes are late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 2, 12, "/multi")
@@ -38,7 +38,7 @@
 		})
 		cluster.At(at+length, func() { cluster.State.ResponseDelay = nil })
 	}},
-	{"a part goes there and back", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"a shard goes there and back", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() { // its owner is refused until another has taken it, who then ends
 			process := cluster.nonLeaderOwner()
 			cluster.SetRefusal(process.name, "state", true)
@@ -93,7 +93,7 @@
 			cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
 		}
 	}},
-	{"the leader is cut off with its workers, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"the leader is cut off with its machines, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
 			cluster.after(env.Seconds(3*length), cluster.IsolateController(cluster.leaderProcess().name))
 		})
--- a/internal/simulator/random_single_faults_test.go
+++ b/internal/simulator/random_single_faults_test.go
@@ -30,11 +30,11 @@
 			cluster.crashFor(at+float64(i)*length/2, at+float64(i)*length/2+3, name)
 		}
 	}},
-	{"a controller stands still", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"a controller is paused", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		name, holds := cluster.controllerNames[random.IntN(3)], random.IntN(2) == 0
 		cluster.At(at, func() { cluster.Controllers[name].Pause(env.Seconds(length), holds) })
 	}},
-	{"all controllers stand still", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"all controllers are paused", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		for _, name := range cluster.controllerNames {
 			holds := random.IntN(2) == 0
 			cluster.At(at+random.Float64(), func() { cluster.Controllers[name].Pause(env.Seconds(length), holds) })
@@ -51,7 +51,7 @@
 	{"a controller loses the state service", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.cutLinksFor(at, at+2*length, []link{{cluster.controllerNames[random.IntN(3)], "state"}})
 	}},
-	{"a controller loses its workers", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"a controller loses its machines", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		name := cluster.controllerNames[random.IntN(3)]
 		var pairs []link
 		for _, machine := range machines {
@@ -101,16 +101,16 @@
 			}
 		}
 	}},
-	{"a machine is deaf", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"nothing reaches a machine", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		cluster.partitionInboundFor(at, at+3*length, machines[random.IntN(len(machines))])
 	}},
-	{"some machines are deaf for good", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, _ float64) {
+	{"nothing reaches some machines any more", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, _ float64) {
 		for range 1 + random.IntN(3) {
 			machine := machines[random.IntN(len(machines))]
 			cluster.At(at, func() { cluster.SetInboundPartition(machine.Address(), true) })
 		}
 	}},
-	{"a third of the machines are deaf", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
+	{"nothing reaches a third of the machines", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		for _, machine := range machines {
 			if random.IntN(3) == 0 {
 				cluster.partitionInboundFor(at, at+2*length, machine)
--- a/internal/simulator/random_stale_answer_faults_test.go
+++ b/internal/simulator/random_stale_answer_faults_test.go
@@ -8,12 +8,12 @@
 	"curlewspool/internal/env"
 )
 
-// staleAnswers are the same for random days; see delayedMessages.
+// staleAnswers are combined faults in which answers, changes or reports are out of date.
 var staleAnswers = []fault{
 	{"transactions are answered late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayResponsesFor("/multi", random, 1, at+3*length, 0.2+1.6*random.Float64())
 	}},
-	{"news are told late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"changes are told late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.delayResponsesFor("/changes", random, at, at+2*length, 0.2+2.2*random.Float64())
 	}},
 	{"answers to transactions are lost, and users ask everywhere", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
@@ -32,7 +32,7 @@
 			})
 		}
 	}},
-	{"jobs are called off as they move", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, _ float64) {
+	{"jobs are cancelled as they move", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, _ float64) {
 		cluster.DropCancellationNotices = random.IntN(2) == 0
 		submitArrays(cluster, "wk-m", at-2, 4+random.IntN(4), 2+random.IntN(3), 3+12*random.Float64())
 		cluster.onChunkMove(at-2, func(id string) {
--- a/internal/simulator/refusal_then_outage_test.go
+++ b/internal/simulator/refusal_then_outage_test.go
@@ -187,11 +187,11 @@
 	}
 }
 
-// The sweep: who is refused, for how long (fractions of the grant's life, both sides
+// The sweep: who is refused, for how long (fractions of the lease's length, both sides
 // of it), when the service is down for all relative to that, once and twice, with
 // controllers that are back at once, machines that reach only those, requests for
 // changes without an answer while renewals pass, clocks apart, and settings that leave
-// little for a grant. All that was confirmed is gone within cancel_s of true time, and
+// little for a controller's lease. All that was confirmed is gone within cancel_s of true time, and
 // nothing of it starts later, also after the outage.
 func TestRefusalThenOutage(t *testing.T) { sweepRefusalThenOutage(t, 700, func(*Cluster) {}) }
 
@@ -259,7 +259,7 @@
 	}
 }
 
-// Who is refused alone hears from the others what was cancelled: it halts that at once,
+// Who is refused alone hears from the others what was cancelled: it stops that at once,
 // starts none of it and tells its users, however old its cache is and becomes. (Without
 // the notice it went on starting tasks for report_s, and what ran went with its leases, up
 // to cancel_s later: TestRefusalThenOutage has the notices lost in all its days.)
@@ -276,7 +276,7 @@
 					without = max(without, history.presentAfterCancellation)
 					continue
 				}
-				// The next direct order; one that is on its way comes before it.
+				// The next direct command; one that is on its way comes before it.
 				if history.presentAfterCancellation > 2*time.Second || history.startsAfterCancellation > 0 {
 					t.Errorf("seed %d: %s was on machines for %v after its cancellation, %d of its tasks came after it", seed, id, history.presentAfterCancellation, history.startsAfterCancellation)
 				}
--- a/internal/simulator/state_outage_test.go
+++ b/internal/simulator/state_outage_test.go
@@ -9,7 +9,7 @@
 	"curlewspool/internal/protocol"
 )
 
-// An outage shorter than the grants costs no leases and no tasks.
+// An outage shorter than the controllers' leases costs no machine's lease and no tasks.
 func TestStateOutage(t *testing.T) {
 	cluster := playTraced(t, "state-outage", 5, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
@@ -89,7 +89,7 @@
 
 // The state service refuses one controller alone, and then everybody for a
 // while. When it is back for the others, they know from what that one says of
-// itself that it still is not answered, and take its part within lease_s/4 of the
+// itself that it still is not answered, and take its shard within lease_s/4 of the
 // outage's end rather than after as long as one that is not heard.
 func TestRefusedControllerThroughStateOutage(t *testing.T) {
 	cluster := NewCluster(37)
--- a/internal/simulator/traced_scenarios_test.go
+++ b/internal/simulator/traced_scenarios_test.go
@@ -83,14 +83,14 @@
 	}
 }
 
-// scenario is a short day on which troubles meet, to be read.
+// scenario is a short day on which faults meet, to be read.
 type scenario struct {
 	name   string
 	script func(cluster *Cluster, machines []*Machine) (done []string) // which jobs are to be done, beside the workday's
 	check  func(t *testing.T, cluster *Cluster, machines []*Machine)
 }
 
-// runScenarios plays such days; all troubles are over at calm. All is done or cancelled in
+// runScenarios plays such days; all faults are over at calm. All is done or cancelled in
 // the end, no rule breaks, nothing is forgotten or left waiting.
 func runScenarios(t *testing.T, prefix string, seed uint64, until, calm float64, before func(cluster *Cluster), days []scenario) {
 	for i, c := range days {
@@ -137,7 +137,7 @@
 	}
 }
 
-// newMonitoredCluster is a deployment whose users see whether jobs wait beside room, once all troubles are
+// newMonitoredCluster is a deployment whose users see whether jobs wait beside room, once all faults are
 // over, in seconds.
 func newMonitoredCluster(seed uint64, calm float64) *Cluster {
 	cluster := NewCluster(seed)
@@ -147,7 +147,7 @@
 	return cluster
 }
 
-// submitStandardLoad is what troubles fall into: six machines, an array and a gang that are to
+// submitStandardLoad is what faults fall into: six machines, an array and a gang that are to
 // be done, and an array that is cancelled.
 func submitStandardLoad(cluster *Cluster) []*Machine {
 	machines := addMachines(cluster, 6, 0)
--- a/internal/simulator/user_requests_test.go
+++ b/internal/simulator/user_requests_test.go
@@ -226,8 +226,8 @@
 	}
 }
 
-// makePartsUneven has some parts full for longer than they seemed to be, so that chunks move.
-func (c *Cluster) makePartsUneven() {
+// makeShardsUneven has some shards full for longer than they seemed to be, so that chunks move.
+func (c *Cluster) makeShardsUneven() {
 	c.RuntimeFactors = map[string]float64{"long": 6}
 	for i := range 24 {
 		class := "class"
--- a/internal/simulator/vouching_test.go
+++ b/internal/simulator/vouching_test.go
@@ -9,15 +9,15 @@
 )
 
 // The sweep of refusals and outages once more, with owners that go on through the outage on
-// the word of the others: what was confirmed is gone within cancel_s all the same.
+// the vouching of the others: what was confirmed is gone within cancel_s all the same.
 func TestRefusalThenOutageWithVouching(t *testing.T) {
 	sweepRefusalThenOutage(t, 1500, (*Cluster).enableVouching)
 }
 
-// An outage of the state service for far longer than a grant and a lease. With the word
+// An outage of the state service for far longer than a controller's and a machine's lease. With that
 // of all members nothing that runs is lost, and what was cancelled just before it is
-// halted at once; with a controller that is away, or back in the middle, or cut from the
-// others, there is no such word, and all goes on as without.
+// stopped at once; with a controller that is away, or back in the middle, or cut from the
+// others, there is none, and all goes on as without.
 func TestVouchingThroughStateOutage(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -79,7 +79,7 @@
 		cluster.At(20.6, func() { cluster.State.StartOutage(80 * time.Second) })
 		cluster.At(25, func() { cluster.SetRefusal(alone, "state", false) })
 	}},
-	// Its part is taken by force meanwhile.
+	// Its shard is taken by force meanwhile.
 	{"though its part was taken", func(cluster *Cluster, alone string, _ []string) {
 		cluster.At(19, func() { cluster.SetRefusal(alone, "state", true) })
 		cluster.At(110, func() { cluster.SetRefusal(alone, "state", false) })
@@ -130,7 +130,7 @@
 	return cluster
 }
 
-// Nothing breaks by the word of one whose word is worth nothing.
+// Nothing breaks by vouching that is worth nothing.
 func TestInvalidVouching(t *testing.T) {
 	for _, test := range invalidVouching {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/simulator/zone_partition_test.go
+++ b/internal/simulator/zone_partition_test.go
@@ -7,7 +7,7 @@
 	"curlewspool/internal/protocol"
 )
 
-// Two zones cannot reach each other. The parts are owned in the zone of their
+// Two zones cannot reach each other. The shards are owned in the zone of their
 // machines, which goes on working; what the other zone accepts runs as well.
 func TestZonesPartitioned(t *testing.T) {
 	cluster := playTraced(t, "zones-partitioned", 15, 90, func(cluster *Cluster) {
