--- a/internal/simulator/cluster_queries_test.go
+++ b/internal/simulator/cluster_queries_test.go
@@ -2,10 +2,10 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"slices"
 	"strings"
 
-	"curlewspool/internal/protocol"
 	"curlewspool/internal/shard"
 )
 
@@ -85,59 +85,69 @@
 	return n
 }
 
+// randomProcess draws one of three controllers when it is called.
+func (c *Cluster) randomProcess(random *rand.Rand) func() *ControllerProcess {
+	return func() *ControllerProcess { return c.Controllers[c.controllerNames[random.IntN(3)]] }
+}
+
 // staleCaches lists what controllers have in their caches that the state service does not
 // have, or has otherwise, and what their shards have of jobs that are over, when all has
 // been calm for long.
-func (c *Cluster) staleCaches() (wrong []string) {
+func (c *Cluster) staleCaches() (violations []string) {
+	stored, jobs := c.State.keys("a/"), len(c.State.keys(shard.JobKey("")))
 	for _, name := range c.runningControllers() {
-		l := c.Controllers[name].Controller.Store()
-		mine := 0
-		for _, key := range c.State.keys("a/") {
-			mine++
-			if e, ok := l.Get(key); !ok || e.Revision != c.State.entries[key].Revision {
-				wrong = append(wrong, fmt.Sprintf("%s has not %s as it is", name, key))
+		cache := c.Controllers[name].Controller.Store()
+		for _, key := range stored {
+			if entry, ok := cache.Get(key); !ok || entry.Revision != c.State.entries[key].Revision {
+				violations = append(violations, fmt.Sprintf("%s has not %s as it is", name, key))
 			}
 		}
-		if l.IsLoaded() && l.CachedKeys() > mine {
-			wrong = append(wrong, fmt.Sprintf("%s has %d keys, there are %d", name, l.CachedKeys(), mine))
+		if cache.IsLoaded() && cache.CachedKeys() > len(stored) {
+			violations = append(violations, fmt.Sprintf("%s has %d keys, there are %d", name, cache.CachedKeys(), len(stored)))
 		}
-		for _, p := range c.Controllers[name].Controller.DebugState().Shards {
-			if p.Jobs > len(c.State.keys(shard.JobKey(""))) {
-				wrong = append(wrong, fmt.Sprintf("part %d of %s has %d jobs, there are %d", p.Shard, name, p.Jobs, len(c.State.keys(shard.JobKey("")))))
+		for _, owned := range c.Controllers[name].Controller.DebugState().Shards {
+			if owned.Jobs > jobs {
+				violations = append(violations, fmt.Sprintf("shard %d of %s has %d jobs, there are %d", owned.Shard, name, owned.Jobs, jobs))
 			}
 		}
 	}
-	return wrong
+	return violations
 }
 
-// checkDay tells what was wrong with a day that is over: broken rules, what the users
-// added to them, caches that differ from the state service, and jobs that have not
-// ended. outages: a user may have given up a submission that fell into one.
-func (c *Cluster) checkDay(outages bool) (wrong []string) {
+// minFailedSubmissions is how many of a user's 31 attempts to submit a job fail in an
+// outage before it is excused that they gave up.
+const minFailedSubmissions = 16
+
+// checkDay lists all that was wrong with a day that is over: invariants and service levels,
+// caches that differ from the state service, and jobs that have not ended. hasOutages: a
+// user may have given up a submission that fell into one.
+func (c *Cluster) checkDay(hasOutages bool) (violations []string) {
 	if len(c.staleCaches()) > 0 { // not for something that is on its way just now
 		c.Run(c.now.Seconds() + 5)
-		wrong = append(wrong, c.staleCaches()...)
+		violations = append(violations, c.staleCaches()...)
 	}
-	wrong = append(wrong, c.Violations...)
-	wrong = append(wrong, c.ServiceLevelViolations()...)
+	violations = append(violations, c.Violations...)
+	violations = append(violations, c.ServiceLevelViolations()...)
 	for id := range c.jobs {
-		got := c.ReportedStatus(id)
-		gaveUp := outages && got == "" && c.failedSubmissions[id] > 15 // of 31 tries
-		if got != protocol.JobDone && got != protocol.JobCancelled && !gaveUp {
-			wrong = append(wrong, c.describeUnfinished(id))
+		status := c.ReportedStatus(id)
+		gaveUp := hasOutages && status == "" && c.failedSubmissions[id] >= minFailedSubmissions
+		if !hasEnded(status) && !gaveUp {
+			violations = append(violations, c.describeUnfinished(id))
 		}
 	}
-	slices.Sort(wrong)
-	return wrong
+	slices.Sort(violations)
+	return violations
 }
 
 // describeUnfinished says of a job that has not ended what it is and why it waits.
 func (c *Cluster) describeUnfinished(id string) string {
-	job, why := c.jobs[id], ""
+	reasons := ""
 	for _, name := range c.runningControllers() {
-		if x := c.Controllers[name].Controller.DebugState().WaitingJobs[id]; x != "" {
-			why += name + ": " + x + "; "
+		if reason := c.Controllers[name].Controller.DebugState().WaitingJobs[id]; reason != "" {
+			reasons += name + ": " + reason + "; "
 		}
 	}
-	return fmt.Sprintf("%s is %q at the end (%s %d x %v one zone %v apart %v): %s", id, c.ReportedStatus(id), job.Shape, job.Tasks, job.Cores, job.SingleZone, job.SpreadZones, why)
+	job := c.jobs[id]
+	return fmt.Sprintf("%s is %q at the end (%s %d x %v single zone %v spread %v): %s",
+		id, c.ReportedStatus(id), job.Shape, job.Tasks, job.Cores, job.SingleZone, job.SpreadZones, reasons)
 }
--- a/internal/simulator/random_delayed_message_faults_test.go
+++ b/internal/simulator/random_delayed_message_faults_test.go
@@ -108,7 +108,7 @@
 				ofClass("apart")))
 		}
 		for range 2 + random.IntN(3) {
-			cluster.restartQuickly(at+2*length*random.Float64(), cluster.randomMoment(random).Seconds(), func() *ControllerProcess { return cluster.Controllers[cluster.controllerNames[random.IntN(3)]] })
+			cluster.restartQuickly(at+2*length*random.Float64(), cluster.randomMoment(random).Seconds(), cluster.randomProcess(random))
 		}
 	}},
 }
--- a/internal/simulator/random_unreachable_machine_faults_test.go
+++ b/internal/simulator/random_unreachable_machine_faults_test.go
@@ -49,7 +49,7 @@
 			cluster.cutLinksFor(at, at+3*length*random.Float64(), cluster.machineLinks(machines[random.IntN(len(machines))]))
 		}
 		for range 1 + random.IntN(3) {
-			cluster.restartQuickly(at+length*random.Float64(), 6*random.Float64(), func() *ControllerProcess { return cluster.Controllers[cluster.controllerNames[random.IntN(3)]] })
+			cluster.restartQuickly(at+length*random.Float64(), 6*random.Float64(), cluster.randomProcess(random))
 		}
 		cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-l%d", random.IntN(3)))
 	}},
