--- a/internal/simulator/consistent_answers_test.go
+++ b/internal/simulator/consistent_answers_test.go
@@ -20,12 +20,14 @@
 	t.Parallel()
 	troubles := map[string]func(cluster *Cluster, random *rand.Rand){
 		"none":                  func(*Cluster, *rand.Rand) {},
-		"changes are told late": func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor("/changes", random, 6, 40, 2) },
-		"transactions slow":     func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor("/multi", random, 6, 40, 1.5) },
+		"changes are told late": func(cluster *Cluster, random *rand.Rand) { cluster.delayResponsesFor(pathChanges, random, 6, 40, 2) },
+		"transactions slow": func(cluster *Cluster, random *rand.Rand) {
+			cluster.delayResponsesFor(pathTransactions, random, 6, 40, 1.5)
+		},
 		"answers lost": func(cluster *Cluster, _ *rand.Rand) {
-			cluster.delayRequestsFor(6, 40, 0.4, 0.001, 0.002, "/multi")
+			cluster.delayRequestsFor(6, 40, 0.4, 0.001, 0.002, pathTransactions)
 		},
-		"written late": func(cluster *Cluster, _ *rand.Rand) { cluster.delayRequestsFor(6, 40, 0.2, 2, 12, "/multi") },
+		"written late": func(cluster *Cluster, _ *rand.Rand) { cluster.delayRequestsFor(6, 40, 0.2, 2, 12, pathTransactions) },
 		"leaders end": func(cluster *Cluster, _ *rand.Rand) {
 			cluster.restartQuickly(10, 0.3, cluster.leaderProcess)
 			cluster.restartQuickly(16, 0.3, cluster.nonLeaderOwner)
@@ -40,7 +42,7 @@
 		},
 		"cancellations not passed": func(cluster *Cluster, random *rand.Rand) {
 			cluster.DropCancellationNotices = true
-			cluster.delayResponsesFor("/changes", random, 6, 40, 2)
+			cluster.delayResponsesFor(pathChanges, random, 6, 40, 2)
 		},
 	}
 	looks, ends := 0, map[protocol.JobStatus]int{}
@@ -58,7 +60,7 @@
 			}
 			cluster.pollEveryController(random, 0.3)
 			cluster.OnRequest = func(from, _, path string) {
-				if from == "user" && strings.HasPrefix(path, "/v2/runs") {
+				if from == userHost && strings.HasPrefix(path, pathJobs) {
 					looks++
 				}
 			}
--- a/internal/simulator/controller_failure_test.go
+++ b/internal/simulator/controller_failure_test.go
@@ -77,7 +77,7 @@
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10))
 		launches := 0
 		cluster.OnRequest = func(from, _, path string) {
-			if cluster.now < 5*time.Second || !strings.Contains(path, "/orders") {
+			if cluster.now < 5*time.Second || !strings.Contains(path, pathCommands) {
 				return
 			}
 			if launches++; launches != 2 {
@@ -119,8 +119,8 @@
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 50))
 		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
-		cluster.At(12, func() { cluster.SetRefusal("n1", "state", true) })
-		cluster.At(52, func() { cluster.SetRefusal("n1", "state", false) })
+		cluster.At(12, func() { cluster.SetRefusal("n1", stateHost, true) })
+		cluster.At(52, func() { cluster.SetRefusal("n1", stateHost, false) })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
 	if strings.Contains(cluster.TraceText(), "lease expired") {
--- a/internal/simulator/controller_pause_test.go
+++ b/internal/simulator/controller_pause_test.go
@@ -126,7 +126,7 @@
 		t.Skip("some seconds")
 	}
 	steps := []struct{ name, path string }{
-		{"a write", pathTransactions}, {"a launch", "/orders"}, {"a renewal", renewSuffix}, {"a proof", pathChanges}, {"a rental", pathRentals}, {"an answer", ""},
+		{"a write", pathTransactions}, {"a launch", pathCommands}, {"a renewal", renewSuffix}, {"a proof", pathChanges}, {"a rental", pathRentals}, {"an answer", ""},
 	}
 	for i, step := range steps {
 		for _, test := range pauseVariants(step.name, step.path) {
--- a/internal/simulator/delayed_writes_test.go
+++ b/internal/simulator/delayed_writes_test.go
@@ -218,7 +218,7 @@
 		cluster.ServeAPI()
 		addMachines(cluster, 9, 0)
 		cluster.State.ResponseDelay = func(path string) time.Duration {
-			if path == "/multi" {
+			if path == pathTransactions {
 				return 700 * time.Millisecond
 			}
 			return 0
@@ -254,10 +254,10 @@
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
 			cluster.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14))
 		}
-		cluster.At(13, func() { cluster.CutLink("n0", "state") })
+		cluster.At(13, func() { cluster.CutLink("n0", stateHost) })
 		cluster.Cancel(15, "wk-2")
-		cluster.At(45, func() { cluster.HealLink("n0", "state") })
-		cluster.At(70, func() { cluster.CutLink("n1", "state") })
-		cluster.At(95, func() { cluster.HealLink("n1", "state") })
+		cluster.At(45, func() { cluster.HealLink("n0", stateHost) })
+		cluster.At(70, func() { cluster.CutLink("n1", stateHost) })
+		cluster.At(95, func() { cluster.HealLink("n1", stateHost) })
 	})
 }
--- a/internal/simulator/dependency_scenarios_test.go
+++ b/internal/simulator/dependency_scenarios_test.go
@@ -87,10 +87,14 @@
 	"none": func(*Cluster, float64) {},
 	"changes are told late": func(cluster *Cluster, at float64) {
 		cluster.DropCancellationNotices = true
-		cluster.delayResponsesFor("/changes", cluster.random, at-3, at+20, 2.5)
+		cluster.delayResponsesFor(pathChanges, cluster.random, at-3, at+20, 2.5)
+	},
+	"written late": func(cluster *Cluster, at float64) {
+		cluster.delayRequestsFor(at-2, at+15, 0.5, 2, 12, pathTransactions)
+	},
+	"answers lost": func(cluster *Cluster, at float64) {
+		cluster.delayRequestsFor(at-2, at+15, 0.7, 0.001, 0.003, pathTransactions)
 	},
-	"written late": func(cluster *Cluster, at float64) { cluster.delayRequestsFor(at-2, at+15, 0.5, 2, 12, "/multi") },
-	"answers lost": func(cluster *Cluster, at float64) { cluster.delayRequestsFor(at-2, at+15, 0.7, 0.001, 0.003, "/multi") },
 	"leaders end": func(cluster *Cluster, at float64) {
 		cluster.restartQuickly(at, 0.3, cluster.leaderProcess)
 		cluster.restartQuickly(at+1.5, 5, cluster.leaderProcess)
--- a/internal/simulator/dependency_test.go
+++ b/internal/simulator/dependency_test.go
@@ -98,7 +98,7 @@
 	test.submit(31, "wk-4", []string{"wk-nobody"}, repeated(protocol.JobPending))
 	test.submit(31, "wk-6", nil, repeated(protocol.JobCancelled))
 	// A needed job that another controller accepted a moment before, whose news are late.
-	cluster.delayResponsesFor("/changes", cluster.random, 34, 40, 3)
+	cluster.delayResponsesFor(pathChanges, cluster.random, 34, 40, 3)
 	cluster.Submit(35, NewSubmission("wk-new", protocol.ShapeArray, 1, 1, 2))
 	for i := range 3 {
 		test.submit(35.1+float64(i)/20, "wk-after-new", []string{"wk-new"}, acceptedPending, repeated(protocol.JobPending), refusedForNow)
@@ -124,7 +124,7 @@
 	cluster.Submit(6, NewSubmission("wk-b", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-a")))
 	asked, over := 0, false
 	cluster.OnRequest = func(_, _, path string) {
-		if over && strings.HasPrefix(path, "/store/"+shard.FinalKey("")) {
+		if over && strings.HasPrefix(path, pathEntry+shard.FinalKey("")) {
 			asked++
 		}
 	}
@@ -167,7 +167,7 @@
 		var early, late int
 		for i := range 10 {
 			cluster.At(10+float64(i)/10, func() {
-				cluster.request("user", cluster.apiAddress([]string{"n0", "n2"}[i%2]), "POST", "/v2/runs", NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-1")), nil, 5*time.Second, func(status int) {
+				cluster.request(userHost, cluster.apiAddress([]string{"n0", "n2"}[i%2]), "POST", pathJobs, NewSubmission("wk-2", protocol.ShapeArray, 1, 1, 2, DependsOn("wk-1")), nil, 5*time.Second, func(status int) {
 					if status/100 == 2 {
 						early++
 					} else if status != 503 {
@@ -197,7 +197,7 @@
 		cluster := NewCluster(seed)
 		cluster.ServeAPI()
 		addMachines(cluster, 3, 0)
-		cluster.delayResponsesFor("/changes", cluster.random, 9, 20, 2)
+		cluster.delayResponsesFor(pathChanges, cluster.random, 9, 20, 2)
 		ids := cluster.submitPipeline(6)
 		cluster.Cancel(9.1, ids[0])
 		for k := range 40 {
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -58,8 +58,8 @@
 func (c *Cluster) refuseControllersFor(from, to float64, who func(cluster *Cluster) []string) {
 	c.At(from, func() {
 		for _, name := range who(c) {
-			c.SetRefusal(name, "state", true)
-			c.At(to, func() { c.SetRefusal(name, "state", false) })
+			c.SetRefusal(name, stateHost, true)
+			c.At(to, func() { c.SetRefusal(name, stateHost, false) })
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	})
 	c.DelayedRequests = append(c.DelayedRequests, func(by, path string, _ []byte) (time.Duration, bool) {
 		now := c.now.Seconds()
-		return time.Hour, now >= from && now < to && path == "/v1/report" && slices.ContainsFunc(machines, func(machine *Machine) bool { return machine.address == by })
+		return time.Hour, now >= from && now < to && path == pathReport && slices.ContainsFunc(machines, func(machine *Machine) bool { return machine.address == by })
 	})
 }
 
@@ -128,7 +128,7 @@
 	met = new(int)
 	c.DelayedRequests = append(c.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
 		var x protocol.Transaction
-		if now := c.now.Seconds(); path != "/multi" || now < from || now > to || protocol.Decode(body, &x) != nil || !is(x.Mutations) || c.random.Float64() >= share {
+		if now := c.now.Seconds(); path != pathTransactions || now < from || now > to || protocol.Decode(body, &x) != nil || !is(x.Mutations) || c.random.Float64() >= share {
 			return 0, false
 		}
 		*met++
@@ -204,7 +204,7 @@
 func (c *Cluster) keepReports(from, to float64, holdBack bool) *[][]byte {
 	kept := new([][]byte)
 	c.DelayedRequests = append(c.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
-		if now := c.now.Seconds(); path == "/v1/report" && now >= from && now < to {
+		if now := c.now.Seconds(); path == pathReport && now >= from && now < to {
 			hold := holdBack && now > to-2 && c.random.IntN(3) == 0
 			if !holdBack || hold {
 				*kept = append(*kept, slices.Clone(body))
--- a/internal/simulator/invalid_requests_test.go
+++ b/internal/simulator/invalid_requests_test.go
@@ -41,7 +41,7 @@
 		cluster.Cancel(9, "wk-gone")
 		answers := map[string]int{}
 		cluster.OnResponse = func(method, path string, status int) {
-			if strings.HasPrefix(path, "/v2/runs") {
+			if strings.HasPrefix(path, pathJobs) {
 				answers[fmt.Sprintf("%s %d", method, status)]++
 			}
 		}
--- a/internal/simulator/late_commands_test.go
+++ b/internal/simulator/late_commands_test.go
@@ -70,7 +70,7 @@
 func (d *lateCommandDay) depose(owner string) {
 	cluster := d.cluster
 	cluster.DelayedRequests = append(cluster.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
-		isDelayed := path == "/orders" && from == owner && cluster.now.Seconds() < deposedAt+1
+		isDelayed := path == pathCommands && from == owner && cluster.now.Seconds() < deposedAt+1
 		if isDelayed {
 			d.delayed++
 		}
--- a/internal/simulator/machine_boot_test.go
+++ b/internal/simulator/machine_boot_test.go
@@ -25,12 +25,12 @@
 
 // writeLags are the ways in which writes lag.
 var writeLags = map[string]func(cluster *Cluster){
-	"late":         func(cluster *Cluster) { cluster.delayRequestsFor(8, 30, 0.5, 2, 12, "/multi") },
-	"answers lost": func(cluster *Cluster) { cluster.delayRequestsFor(8, 30, 0.6, 0.001, 0.002, "/multi") },
-	"slow":         func(cluster *Cluster) { cluster.delayResponsesFor("/multi", cluster.random, 8, 30, 1.6) },
+	"late":         func(cluster *Cluster) { cluster.delayRequestsFor(8, 30, 0.5, 2, 12, pathTransactions) },
+	"answers lost": func(cluster *Cluster) { cluster.delayRequestsFor(8, 30, 0.6, 0.001, 0.002, pathTransactions) },
+	"slow":         func(cluster *Cluster) { cluster.delayResponsesFor(pathTransactions, cluster.random, 8, 30, 1.6) },
 	"rentals unsure": func(cluster *Cluster) {
-		cluster.delayRequestsFor(8, 30, 0.5, 0.05, 4, "/rentals")
-		cluster.delayRequestsFor(8, 30, 0.3, 2, 9, "/multi")
+		cluster.delayRequestsFor(8, 30, 0.5, 0.05, 4, pathRentals)
+		cluster.delayRequestsFor(8, 30, 0.3, 2, 9, pathTransactions)
 	},
 }
 
--- a/internal/simulator/machine_commands.go
+++ b/internal/simulator/machine_commands.go
@@ -9,8 +9,11 @@
 	"curlewspool/internal/protocol"
 )
 
-// pathStatus is where a machine says what is on it; all else is taken as commands.
-const pathStatus = "/status"
+// Paths of machines. All that is no request for the status is taken as commands.
+const (
+	pathStatus   = "/status"
+	pathCommands = "/orders"
+)
 
 // roundingError is how far sums of resources may be off.
 const roundingError = 1e-9
--- a/internal/simulator/more_overlapping_faults_test.go
+++ b/internal/simulator/more_overlapping_faults_test.go
@@ -27,8 +27,8 @@
 		}
 		cluster.At(16.1, func() {
 			name := cluster.leaderProcess().name
-			cluster.SetRefusal(name, "state", true)
-			cluster.after(6*time.Second, func() { cluster.SetRefusal(name, "state", false) })
+			cluster.SetRefusal(name, stateHost, true)
+			cluster.after(6*time.Second, func() { cluster.SetRefusal(name, stateHost, false) })
 		})
 		cluster.At(17.1, func() { cluster.State.StartOutage(40 * time.Second) })
 		return nil
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -73,8 +73,8 @@
 		return submitBurst(cluster, 14, 2, 4, 5)
 	}},
 	{"controller-refused-and-burst", func(cluster *Cluster, _ []*Machine) []string {
-		cluster.At(11, func() { cluster.SetRefusal("n2", "state", true) })
-		cluster.At(40, func() { cluster.SetRefusal("n2", "state", false) })
+		cluster.At(11, func() { cluster.SetRefusal("n2", stateHost, true) })
+		cluster.At(40, func() { cluster.SetRefusal("n2", stateHost, false) })
 		return submitBurst(cluster, 12, 6, 5, 5)
 	}},
 	{"all-paused-and-machines-die", func(cluster *Cluster, machines []*Machine) []string {
@@ -105,8 +105,8 @@
 	// Launches and stops reach their machine 5 s late, one of them after the session
 	// that they are for; answers of others are lost though they were carried out.
 	{"commands-delayed", func(cluster *Cluster, machines []*Machine) []string {
-		cluster.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
-		cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, "/orders")
+		cluster.delayRequestsFor(7.9, 9, 1, 5, 5, pathCommands)
+		cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, pathCommands)
 		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10))
 		cluster.Submit(12, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 6))
 		cluster.cutLinksFor(10, 27, cluster.machineLinks(machines[0]))
@@ -116,8 +116,8 @@
 	// then all end and one returns before the others.
 	{"shard-there-and-back", func(cluster *Cluster, _ []*Machine) []string {
 		a := cluster.controllerNames[1]
-		cluster.At(9, func() { cluster.SetRefusal(a, "state", true) })
-		cluster.At(14.6, func() { cluster.SetRefusal(a, "state", false) })
+		cluster.At(9, func() { cluster.SetRefusal(a, stateHost, true) })
+		cluster.At(14.6, func() { cluster.SetRefusal(a, stateHost, false) })
 		cluster.At(14.8, func() {
 			for _, name := range cluster.controllerNames {
 				if name != a {
@@ -166,8 +166,8 @@
 		cluster.At(20, func() { cluster.State.ResponseDelay = nil })
 		cluster.At(16, func() {
 			name := cluster.leaderProcess().name
-			cluster.SetRefusal(name, "state", true)
-			cluster.after(8*time.Second, func() { cluster.SetRefusal(name, "state", false) })
+			cluster.SetRefusal(name, stateHost, true)
+			cluster.after(8*time.Second, func() { cluster.SetRefusal(name, stateHost, false) })
 		})
 		cluster.At(21, func() { cluster.State.StartOutage(40 * time.Second) })
 		return nil
@@ -175,7 +175,7 @@
 	// Half of the transactions get no answer and are carried out 2 to 12 s later: of
 	// acceptances, cancellations, ends, progress and owners that change.
 	{"late-writes", func(cluster *Cluster, _ []*Machine) []string {
-		cluster.delayRequestsFor(7, 26, 0.5, 2, 12, "/multi")
+		cluster.delayRequestsFor(7, 26, 0.5, 2, 12, pathTransactions)
 		cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 5, 1, 4))
 		cluster.Submit(11, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 4))
 		cluster.At(14, func() { cluster.nonLeaderOwner().Crash() })
@@ -197,7 +197,7 @@
 			cluster.At(at, func() {
 				for _, id := range []string{"wk-3", "wk-4"} {
 					out := &protocol.JobState{}
-					cluster.request("user", cluster.apiAddress(old), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
+					cluster.request(userHost, cluster.apiAddress(old), "GET", pathJob+id, nil, out, 2*time.Second, func(status int) {
 						if status == 200 && out.Status != protocol.JobCancelled && cluster.ReportedStatus(id) == protocol.JobCancelled {
 							cluster.reportViolation(RuleEndIsFinal, "the isolated one says %s is %s", id, out.Status)
 						}
--- a/internal/simulator/random_combined_faults_test.go
+++ b/internal/simulator/random_combined_faults_test.go
@@ -21,7 +21,7 @@
 		cluster.At(at+4*length, func() { cluster.OnStatusReported = nil })
 	}},
 	{"answers of transactions lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+2*length, 0.3+0.5*random.Float64(), 0.001, 0.003, "/multi")
+		cluster.delayRequestsFor(at, at+2*length, 0.3+0.5*random.Float64(), 0.001, 0.003, pathTransactions)
 	}},
 	{"every team at its limit, cancellations, machines not to be had, the leader ends", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		for i, team := range []string{"blue", "green"} {
@@ -53,7 +53,7 @@
 		}
 	}},
 	{"new machines at once, writes late, all end, some can't be asked", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), []float64{0.001, 2}[random.IntN(2)], 8, "/multi")
+		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), []float64{0.001, 2}[random.IntN(2)], 8, pathTransactions)
 		for range 2 + random.IntN(3) {
 			cluster.At(at+random.Float64(), func() { cluster.AddMachine("small", []string{"a", "b"}[random.IntN(2)], random.IntN(2) == 0) })
 		}
@@ -74,7 +74,7 @@
 				for _, body := range *kept {
 					if random.IntN(3) == 0 {
 						cluster.after(env.Seconds(length*random.Float64()*random.Float64()), func() {
-							cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {})
+							cluster.handlers[cluster.apiAddress(name)]("POST", pathReport, body, func(int, any) {})
 						})
 					}
 				}
@@ -97,7 +97,7 @@
 		cluster.At(at-1, func() {
 			name, late := cluster.controllerNames[random.IntN(3)], 16*random.Float64()
 			cluster.DelayedRequests = append(cluster.DelayedRequests, func(from, path string, _ []byte) (time.Duration, bool) {
-				return env.Seconds(late * (0.5 + 0.5*cluster.random.Float64())), path == "/orders" && from == name && cluster.now.Seconds() < at+1
+				return env.Seconds(late * (0.5 + 0.5*cluster.random.Float64())), path == pathCommands && from == name && cluster.now.Seconds() < at+1
 			})
 			cluster.restartQuickly(at, 0.2+2*length*random.Float64(), func() *ControllerProcess { return cluster.Controllers[name] })
 			for _, machine := range machines {
@@ -128,7 +128,7 @@
 		cluster.restartQuickly(at+length*random.Float64(), 0.3, cluster.leaderProcess)
 	}},
 	{"jobs are cancelled as they end, writes late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+2*length, 0.3, []float64{0.001, 1}[random.IntN(2)], 5, "/multi")
+		cluster.delayRequestsFor(at, at+2*length, 0.3, []float64{0.001, 1}[random.IntN(2)], 5, pathTransactions)
 		cluster.At(at, func() {
 			cluster.OnJobCompleted = func(id string) {
 				if random.IntN(3) > 0 || cluster.reportedStatus[id] == "" {
--- a/internal/simulator/random_delayed_message_faults_test.go
+++ b/internal/simulator/random_delayed_message_faults_test.go
@@ -13,19 +13,19 @@
 // two or three of them beside another fault.
 var delayedMessages = []fault{
 	{"commands are delayed", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 0.01, 12*random.Float64(), "/orders")
+		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 0.01, 12*random.Float64(), pathCommands)
 	}},
 	{"answers to commands are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 0.01, "/orders", "/status")
+		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 0.01, pathCommands, pathStatus)
 	}},
 	{"answers to reports are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 6, "/v1/report")
+		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 6, pathReport)
 	}},
 	{"commands are repeated", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.duplicateCommandsFor(at, at+2*length, 0.5, 0.2, 15)
 	}},
 	{"writes are late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 2, 12, "/multi")
+		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 2, 12, pathTransactions)
 	}},
 	{"the state service is slow", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
@@ -41,9 +41,9 @@
 	{"a shard goes there and back", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() { // its owner is refused until another has taken it, who then ends
 			process := cluster.nonLeaderOwner()
-			cluster.SetRefusal(process.name, "state", true)
+			cluster.SetRefusal(process.name, stateHost, true)
 			cluster.after(env.Seconds(4+4*random.Float64()), func() {
-				cluster.SetRefusal(process.name, "state", false)
+				cluster.SetRefusal(process.name, stateHost, false)
 				if taker := cluster.nonLeaderOwner(); taker.running && taker != process {
 					taker.Crash()
 					cluster.after(env.Seconds(0.05+length*random.Float64()), taker.Start)
--- a/internal/simulator/random_single_faults_test.go
+++ b/internal/simulator/random_single_faults_test.go
@@ -45,11 +45,11 @@
 	}},
 	{"the state service refuses one controller", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		name := cluster.controllerNames[random.IntN(3)]
-		cluster.At(at, func() { cluster.SetRefusal(name, "state", true) })
-		cluster.At(at+2*length, func() { cluster.SetRefusal(name, "state", false) })
+		cluster.At(at, func() { cluster.SetRefusal(name, stateHost, true) })
+		cluster.At(at+2*length, func() { cluster.SetRefusal(name, stateHost, false) })
 	}},
 	{"a controller loses the state service", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.cutLinksFor(at, at+2*length, []link{{cluster.controllerNames[random.IntN(3)], "state"}})
+		cluster.cutLinksFor(at, at+2*length, []link{{cluster.controllerNames[random.IntN(3)], stateHost}})
 	}},
 	{"a controller loses its machines", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
 		name := cluster.controllerNames[random.IntN(3)]
--- a/internal/simulator/random_stale_answer_faults_test.go
+++ b/internal/simulator/random_stale_answer_faults_test.go
@@ -11,13 +11,13 @@
 // staleAnswers are combined faults in which answers, changes or reports are out of date.
 var staleAnswers = []fault{
 	{"transactions are answered late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayResponsesFor("/multi", random, 1, at+3*length, 0.2+1.6*random.Float64())
+		cluster.delayResponsesFor(pathTransactions, random, 1, at+3*length, 0.2+1.6*random.Float64())
 	}},
 	{"changes are told late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayResponsesFor("/changes", random, at, at+2*length, 0.2+2.2*random.Float64())
+		cluster.delayResponsesFor(pathChanges, random, at, at+2*length, 0.2+2.2*random.Float64())
 	}},
 	{"answers to transactions are lost, and users ask everywhere", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+2*length, 0.2+0.6*random.Float64(), 0.001, 0.01, "/multi")
+		cluster.delayRequestsFor(at, at+2*length, 0.2+0.6*random.Float64(), 0.001, 0.01, pathTransactions)
 		for i := range 12 {
 			id := fmt.Sprintf("wk-%d", 1+i%5)
 			cluster.At(at+2*length*random.Float64(), func() {
@@ -44,7 +44,7 @@
 	{"old reports reach every controller as a new leader begins", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		var old [][]byte
 		cluster.DelayedRequests = append(cluster.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
-			if now := cluster.now.Seconds(); path == "/v1/report" && now > at-6 && now < at {
+			if now := cluster.now.Seconds(); path == pathReport && now > at-6 && now < at {
 				old = append(old, append([]byte(nil), body...))
 			}
 			return 0, false
@@ -55,14 +55,14 @@
 				for range min(len(old), 8) {
 					body := old[random.IntN(len(old))]
 					for _, name := range cluster.runningControllers() {
-						cluster.handlers[cluster.apiAddress(name)]("POST", "/v1/report", body, func(int, any) {})
+						cluster.handlers[cluster.apiAddress(name)]("POST", pathReport, body, func(int, any) {})
 					}
 				}
 			})
 		}
 	}},
 	{"machines are up at once while writes lag, and the leader ends", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), 0.5, 8, "/multi")
+		cluster.delayRequestsFor(at-1, at+length, 0.3+0.4*random.Float64(), 0.5, 8, pathTransactions)
 		for range 2 + random.IntN(3) {
 			cluster.At(at+2*random.Float64(), func() { cluster.AddMachine("small", []string{"a", "b"}[random.IntN(2)], random.IntN(2) == 0) })
 		}
--- a/internal/simulator/random_unreachable_machine_faults_test.go
+++ b/internal/simulator/random_unreachable_machine_faults_test.go
@@ -24,8 +24,8 @@
 				cluster.requestCancellation(fmt.Sprintf("wk-%d", i+1))
 			}
 			name := cluster.leaderProcess().name
-			cluster.after(env.Seconds(0.3*random.Float64()), func() { cluster.SetRefusal(name, "state", true) })
-			cluster.after(env.Seconds(0.5+length), func() { cluster.SetRefusal(name, "state", false) })
+			cluster.after(env.Seconds(0.3*random.Float64()), func() { cluster.SetRefusal(name, stateHost, true) })
+			cluster.after(env.Seconds(0.5+length), func() { cluster.SetRefusal(name, stateHost, false) })
 		})
 		cluster.At(at+0.4+random.Float64(), func() {
 			cluster.State.StartOutage(env.Seconds((0.6 + 0.6*random.Float64()) * cluster.Settings.Deployment.Workers.Cancel))
--- a/internal/simulator/refusal_then_outage_test.go
+++ b/internal/simulator/refusal_then_outage_test.go
@@ -116,7 +116,7 @@
 		}
 	}
 	if r.commandDelay > 0 {
-		cluster.delayRequestsFor(at-0.41, at+r.length, 1, r.commandDelay/2, 3*r.commandDelay/2, "/orders")
+		cluster.delayRequestsFor(at-0.41, at+r.length, 1, r.commandDelay/2, 3*r.commandDelay/2, pathCommands)
 	}
 	cluster.At(at, func() {
 		refused := r.refused(cluster)
--- a/internal/simulator/single_task_rush_test.go
+++ b/internal/simulator/single_task_rush_test.go
@@ -24,15 +24,15 @@
 	"all end":        func(cluster *Cluster) { cluster.crashFor(50, 52.5, cluster.controllerNames...) },
 	"one is refused": func(cluster *Cluster) { cluster.refuseControllersFor(40, 65, largestOwnerOnly) },
 	"writes are late": func(cluster *Cluster) {
-		cluster.delayRequestsFor(40, 70, 0.1, 2, 12, "/multi")
+		cluster.delayRequestsFor(40, 70, 0.1, 2, 12, pathTransactions)
 		cluster.restartQuickly(55, 0.3, cluster.leaderProcess)
 	},
 	"answers are lost": func(cluster *Cluster) {
-		cluster.delayRequestsFor(40, 70, 0.2, 0.001, 0.002, "/multi")
+		cluster.delayRequestsFor(40, 70, 0.2, 0.001, 0.002, pathTransactions)
 		cluster.restartQuickly(55, 0.3, cluster.leaderProcess)
 	},
 	commandsLate: func(cluster *Cluster) {
-		cluster.delayRequestsFor(40, 70, 0.1, 2, 16, "/orders")
+		cluster.delayRequestsFor(40, 70, 0.1, 2, 16, pathCommands)
 		cluster.restartQuickly(55, 4, cluster.nonLeaderOwner)
 	},
 	"machines lost, too": func(cluster *Cluster) {
--- a/internal/simulator/state_limits_test.go
+++ b/internal/simulator/state_limits_test.go
@@ -45,7 +45,7 @@
 		cluster.At(limitsDecreaseAt+4, func() { cluster.killMachines(10) })
 	},
 	"in an outage, after late writes": func(cluster *Cluster) {
-		cluster.delayRequestsFor(limitsDecreaseAt-12, limitsDecreaseAt-2, 0.3, 2, 12, "/multi")
+		cluster.delayRequestsFor(limitsDecreaseAt-12, limitsDecreaseAt-2, 0.3, 2, 12, pathTransactions)
 		cluster.At(limitsDecreaseAt-2, func() { cluster.State.StartOutage(9 * time.Second) })
 	},
 	"as owners change": func(cluster *Cluster) {
--- a/internal/simulator/state_outage_test.go
+++ b/internal/simulator/state_outage_test.go
@@ -96,9 +96,9 @@
 	cluster.ServeAPI()
 	addMachines(cluster, 6, 0)
 	cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 30))
-	cluster.At(11, func() { cluster.SetRefusal("n1", "state", true) })
+	cluster.At(11, func() { cluster.SetRefusal("n1", stateHost, true) })
 	cluster.At(14, func() { cluster.State.StartOutage(8 * time.Second) })
-	cluster.At(60, func() { cluster.SetRefusal("n1", "state", false) })
+	cluster.At(60, func() { cluster.SetRefusal("n1", stateHost, false) })
 	cluster.Submit(16, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
 	owned := 0
 	cluster.At(22+14.0/4, func() {
