--- a/internal/simulator/controller_failure_test.go
+++ b/internal/simulator/controller_failure_test.go
@@ -77,7 +77,7 @@
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeGang, 2, 4, 10))
 		launches := 0
 		cluster.OnRequest = func(from, _, path string) {
-			if cluster.now < 5*time.Second || !strings.Contains(path, "/orders") {
+			if cluster.now < 5*time.Second || !strings.Contains(path, pathCommands) {
 				return
 			}
 			if launches++; launches != 2 {
@@ -97,7 +97,7 @@
 }
 
 // Controllers refuse each other's connections: what one accepts reaches the
-// owners through the state service, and nobody takes a part away.
+// owners through the state service, and nobody takes a shard away.
 func TestControllersPartitionedFromEachOther(t *testing.T) {
 	cluster := playTraced(t, "controllers-partitioned", 21, 90, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
@@ -112,15 +112,15 @@
 	}
 }
 
-// The state service refuses one controller alone: it answers its workers until
-// its grant could be over, others take its parts before leases end.
+// The state service refuses one controller alone: it answers its machines until
+// its own lease could be over, others take its shards before leases end.
 func TestControllerRefusedByStateService(t *testing.T) {
 	cluster := playTraced(t, "controller-refused", 22, 110, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		cluster.Submit(5, NewSubmission("wk-1", protocol.ShapeArray, 24, 1, 50))
 		cluster.Submit(20, NewSubmission("wk-2", protocol.ShapeArray, 6, 1, 5))
-		cluster.At(12, func() { cluster.SetRefusal("n1", "state", true) })
-		cluster.At(52, func() { cluster.SetRefusal("n1", "state", false) })
+		cluster.At(12, func() { cluster.SetRefusal("n1", stateHost, true) })
+		cluster.At(52, func() { cluster.SetRefusal("n1", stateHost, false) })
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2")
 	if strings.Contains(cluster.TraceText(), "lease expired") {
@@ -128,8 +128,8 @@
 	}
 }
 
-// A controller loses only its workers: it is well in all other eyes. It gives
-// its parts up because others hear its machines, and none of them loses its
+// A controller loses only its machines: it is well in all other eyes. It gives
+// its shards up because others hear its machines, and none of them loses its
 // lease.
 func TestOwnerPartitionedFromMachines(t *testing.T) {
 	cluster := playTraced(t, "owner-partitioned-from-machines", 35, 150, func(cluster *Cluster) {
--- a/internal/simulator/delayed_writes_test.go
+++ b/internal/simulator/delayed_writes_test.go
@@ -105,14 +105,14 @@
 // A chunk's move gets no answer and is carried out seconds later. Nothing of the chunk may
 // start where it was until it is known what became of the move: given up as one that was
 // not made, it came true after its tasks had started there, and they started again in the
-// other part.
+// other shard.
 func TestDelayedChunkMoves(t *testing.T) {
 	met := 0
 	for seed := uint64(1420); seed < 1432; seed++ {
 		cluster := NewCluster(seed)
 		cluster.ServeAPI()
 		addMachines(cluster, 9, 0)
-		cluster.makePartsUneven()
+		cluster.makeShardsUneven()
 		moved := cluster.delayWritesFor(6, 60, 0.8, 2, 12, func(o []protocol.Mutation) bool {
 			return len(o) > 0 && strings.HasPrefix(o[0].Put, shard.JobKey("")) && cluster.State.entries[o[0].Put].Revision > 0
 		})
@@ -155,7 +155,7 @@
 				cluster.Controllers[name].Crash()
 				cluster.after(time.Second, cluster.Controllers[name].Start)
 			}
-			for range 6 { // room in each part
+			for range 6 { // room in each shard
 				cluster.AddMachine("small", "a", false)
 			}
 			cluster.after(40*time.Second, func() {
@@ -207,8 +207,8 @@
 	}
 }
 
-// A chunk moves to another part, the state service carries that out at once and answers
-// late, and in between the job is called off through another controller. The mover, who
+// A chunk moves to another shard, the state service carries that out at once and answers
+// late, and in between the job is cancelled through another controller. The mover, who
 // had been told of the deletion, took the answer for news: the job lived on in its cache
 // for good, was asked for and told as pending, and was started again.
 func TestCancellationDuringChunkMove(t *testing.T) {
@@ -218,13 +218,13 @@
 		cluster.ServeAPI()
 		addMachines(cluster, 9, 0)
 		cluster.State.ResponseDelay = func(path string) time.Duration {
-			if path == "/multi" {
+			if path == pathTransactions {
 				return 700 * time.Millisecond
 			}
 			return 0
 		}
-		cluster.DropCancellationNotices = seed%2 == 1 // the word of the cancellation covers most of it
-		cluster.makePartsUneven()
+		cluster.DropCancellationNotices = seed%2 == 1 // the notice of the cancellation covers most of it
+		cluster.makeShardsUneven()
 		cluster.onChunkMove(6, func(id string) {
 			met++
 			cluster.requestCancellation(id)
@@ -247,17 +247,17 @@
 }
 
 // An owner is cut from the state service; what it sent arrives after another
-// has taken its part. Its late writes must fail.
+// has taken its shard. Its late writes must fail.
 func TestLateTransactions(t *testing.T) {
 	playTraced(t, "late-transactions", 6, 150, func(cluster *Cluster) {
 		addMachines(cluster, 6, 0)
 		for i, id := range []string{"wk-1", "wk-2", "wk-3", "wk-4", "wk-5", "wk-6"} {
 			cluster.Submit(4+4*float64(i), NewSubmission(id, protocol.ShapeArray, 9, 1, 14))
 		}
-		cluster.At(13, func() { cluster.CutLink("n0", "state") })
+		cluster.At(13, func() { cluster.CutLink("n0", stateHost) })
 		cluster.Cancel(15, "wk-2")
-		cluster.At(45, func() { cluster.HealLink("n0", "state") })
-		cluster.At(70, func() { cluster.CutLink("n1", "state") })
-		cluster.At(95, func() { cluster.HealLink("n1", "state") })
+		cluster.At(45, func() { cluster.HealLink("n0", stateHost) })
+		cluster.At(70, func() { cluster.CutLink("n1", stateHost) })
+		cluster.At(95, func() { cluster.HealLink("n1", stateHost) })
 	})
 }
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -58,8 +58,8 @@
 func (c *Cluster) refuseControllersFor(from, to float64, who func(cluster *Cluster) []string) {
 	c.At(from, func() {
 		for _, name := range who(c) {
-			c.SetRefusal(name, "state", true)
-			c.At(to, func() { c.SetRefusal(name, "state", false) })
+			c.SetRefusal(name, stateHost, true)
+			c.At(to, func() { c.SetRefusal(name, stateHost, false) })
 		}
 	})
 }
@@ -79,7 +79,7 @@
 	})
 	c.DelayedRequests = append(c.DelayedRequests, func(by, path string, _ []byte) (time.Duration, bool) {
 		now := c.now.Seconds()
-		return time.Hour, now >= from && now < to && path == "/v1/report" && slices.ContainsFunc(machines, func(machine *Machine) bool { return machine.address == by })
+		return time.Hour, now >= from && now < to && path == pathReport && slices.ContainsFunc(machines, func(machine *Machine) bool { return machine.address == by })
 	})
 }
 
@@ -128,7 +128,7 @@
 	met = new(int)
 	c.DelayedRequests = append(c.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
 		var x protocol.Transaction
-		if now := c.now.Seconds(); path != "/multi" || now < from || now > to || protocol.Decode(body, &x) != nil || !is(x.Mutations) || c.random.Float64() >= share {
+		if now := c.now.Seconds(); path != pathTransactions || now < from || now > to || protocol.Decode(body, &x) != nil || !is(x.Mutations) || c.random.Float64() >= share {
 			return 0, false
 		}
 		*met++
@@ -137,21 +137,22 @@
 	return met
 }
 
-// duplicateReportsFor has each report come once more, as late as it says, from one time on.
-func (c *Cluster) duplicateReportsFor(from, to float64, late ...float64) {
-	c.At(from, func() {
-		i := 0
+// duplicateReportsUntil has each report from 6 s on arrive once more, as late as one of
+// the delays in turn; all in seconds.
+func (c *Cluster) duplicateReportsUntil(to float64, delays ...float64) {
+	c.At(6, func() {
+		count := 0
 		c.DuplicateReports = func() []time.Duration {
-			i++
-			return []time.Duration{env.Seconds(late[i%len(late)])}
+			count++
+			return []time.Duration{env.Seconds(delays[count%len(delays)])}
 		}
 	})
 	c.At(to, func() { c.DuplicateReports = nil })
 }
 
-// duplicateOrdersFor has a share of the orders to machines arrive again, least to most seconds
+// duplicateCommandsFor has a share of the commands to machines arrive again, least to most seconds
 // after they were carried out.
-func (c *Cluster) duplicateOrdersFor(from, to, share, least, most float64) {
+func (c *Cluster) duplicateCommandsFor(from, to, share, least, most float64) {
 	c.At(from, func() {
 		c.DuplicateRequest = func(to string) time.Duration {
 			if !strings.Contains(to, "w-i-") || c.random.Float64() >= share {
@@ -181,7 +182,7 @@
 }
 
 // loseMachines has the owner of most machines reached by none of them, so that it gives
-// its parts up.
+// its shards up.
 func loseMachines(cluster *Cluster, at float64) {
 	cluster.At(at, func() {
 		name := cluster.largestOwner().name
@@ -203,7 +204,7 @@
 func (c *Cluster) keepReports(from, to float64, holdBack bool) *[][]byte {
 	kept := new([][]byte)
 	c.DelayedRequests = append(c.DelayedRequests, func(_, path string, body []byte) (time.Duration, bool) {
-		if now := c.now.Seconds(); path == "/v1/report" && now >= from && now < to {
+		if now := c.now.Seconds(); path == pathReport && now >= from && now < to {
 			hold := holdBack && now > to-2 && c.random.IntN(3) == 0
 			if !holdBack || hold {
 				*kept = append(*kept, slices.Clone(body))
@@ -262,7 +263,7 @@
 	}
 }
 
-// useTightLeases leaves a third as much for a grant as the lease: about as in the users' large
+// useTightLeases leaves a third as much for a controller's lease as for a machine's: about as in the users' large
 // deployments. tighter leaves a tenth.
 func (c *Cluster) useTightLeases() { c.setLeaseTimes(3, 15.5, 28) }
 
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -39,7 +39,7 @@
 	}},
 	{"outage-after-a-restart", func(cluster *Cluster, _ []*Machine) []string {
 		cluster.crashFor(12, 15, cluster.controllerNames...)
-		cluster.At(15.02, func() { cluster.State.StartOutage(6 * time.Second) }) // they have their grants, not their parts
+		cluster.At(15.02, func() { cluster.State.StartOutage(6 * time.Second) }) // they have their leases, not their shards
 		return submitBurst(cluster, 14, 3, 4, 5)
 	}},
 	{"zone-partitioned-and-paused-owner", func(cluster *Cluster, _ []*Machine) []string {
@@ -73,8 +73,8 @@
 		return submitBurst(cluster, 14, 2, 4, 5)
 	}},
 	{"controller-refused-and-burst", func(cluster *Cluster, _ []*Machine) []string {
-		cluster.At(11, func() { cluster.SetRefusal("n2", "state", true) })
-		cluster.At(40, func() { cluster.SetRefusal("n2", "state", false) })
+		cluster.At(11, func() { cluster.SetRefusal("n2", stateHost, true) })
+		cluster.At(40, func() { cluster.SetRefusal("n2", stateHost, false) })
 		return submitBurst(cluster, 12, 6, 5, 5)
 	}},
 	{"all-paused-and-machines-die", func(cluster *Cluster, machines []*Machine) []string {
@@ -102,22 +102,22 @@
 
 // combinedFaultScenarios are days on which two failures meet, one of them of messages.
 var combinedFaultScenarios = []scenario{
-	// Launches and halts reach their machine 5 s late, one of them after the session
+	// Launches and stops reach their machine 5 s late, one of them after the session
 	// that they are for; answers of others are lost though they were carried out.
 	{"commands-delayed", func(cluster *Cluster, machines []*Machine) []string {
-		cluster.delayRequestsFor(7.9, 9, 1, 5, 5, "/orders")
-		cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, "/orders")
+		cluster.delayRequestsFor(7.9, 9, 1, 5, 5, pathCommands)
+		cluster.delayRequestsFor(12, 16, 0.5, 0.001, 0.002, pathCommands)
 		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 6, 1, 10))
 		cluster.Submit(12, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 6))
 		cluster.cutLinksFor(10, 27, cluster.machineLinks(machines[0]))
 		return []string{"wk-4", "wk-5"}
 	}, nil},
-	// A is refused until B has its part, B ends, A takes it back, all within seconds;
+	// A is refused until B has its shard, B ends, A takes it back, all within seconds;
 	// then all end and one returns before the others.
 	{"shard-there-and-back", func(cluster *Cluster, _ []*Machine) []string {
 		a := cluster.controllerNames[1]
-		cluster.At(9, func() { cluster.SetRefusal(a, "state", true) })
-		cluster.At(14.6, func() { cluster.SetRefusal(a, "state", false) })
+		cluster.At(9, func() { cluster.SetRefusal(a, stateHost, true) })
+		cluster.At(14.6, func() { cluster.SetRefusal(a, stateHost, false) })
 		cluster.At(14.8, func() {
 			for _, name := range cluster.controllerNames {
 				if name != a {
@@ -148,7 +148,7 @@
 		cluster.partitionInboundFor(11.5, 45, machines[3])
 		return nil
 	}, func(t *testing.T, cluster *Cluster, _ []*Machine) {
-		// 14 s after the grant that may have answered it last, not before.
+		// 14 s after the renewal that may have answered it last, not before.
 		for _, task := range []string{"wk-1/0", "wk-1/1"} {
 			if n := strings.Count(cluster.TraceText(), "starts "+task+"\n"); n < 1 || n > 2 {
 				t.Errorf("%s started %d times", task, n)
@@ -166,8 +166,8 @@
 		cluster.At(20, func() { cluster.State.ResponseDelay = nil })
 		cluster.At(16, func() {
 			name := cluster.leaderProcess().name
-			cluster.SetRefusal(name, "state", true)
-			cluster.after(8*time.Second, func() { cluster.SetRefusal(name, "state", false) })
+			cluster.SetRefusal(name, stateHost, true)
+			cluster.after(8*time.Second, func() { cluster.SetRefusal(name, stateHost, false) })
 		})
 		cluster.At(21, func() { cluster.State.StartOutage(40 * time.Second) })
 		return nil
@@ -175,14 +175,14 @@
 	// Half of the transactions get no answer and are carried out 2 to 12 s later: of
 	// acceptances, cancellations, ends, progress and owners that change.
 	{"late-writes", func(cluster *Cluster, _ []*Machine) []string {
-		cluster.delayRequestsFor(7, 26, 0.5, 2, 12, "/multi")
+		cluster.delayRequestsFor(7, 26, 0.5, 2, 12, pathTransactions)
 		cluster.Submit(9, NewSubmission("wk-4", protocol.ShapeArray, 5, 1, 4))
 		cluster.Submit(11, NewSubmission("wk-5", protocol.ShapeGang, 2, 2, 4))
 		cluster.At(14, func() { cluster.nonLeaderOwner().Crash() })
 		cluster.At(17, cluster.Start)
 		return []string{"wk-4", "wk-5"}
 	}, nil},
-	// The leader is cut from the state service and the others; workers and users
+	// The leader is cut from the state service and the others; machines and users
 	// still reach it. wk-3 and wk-4 are cancelled through the new one; asked, the old
 	// one tells nobody that they are pending or run.
 	{"leader-isolated", func(cluster *Cluster, _ []*Machine) []string {
@@ -197,7 +197,7 @@
 			cluster.At(at, func() {
 				for _, id := range []string{"wk-3", "wk-4"} {
 					out := &protocol.JobState{}
-					cluster.request("user", cluster.apiAddress(old), "GET", "/v2/runs/"+id, nil, out, 2*time.Second, func(status int) {
+					cluster.request(userHost, cluster.apiAddress(old), "GET", pathJob+id, nil, out, 2*time.Second, func(status int) {
 						if status == 200 && out.Status != protocol.JobCancelled && cluster.ReportedStatus(id) == protocol.JobCancelled {
 							cluster.reportViolation(RuleEndIsFinal, "the isolated one says %s is %s", id, out.Status)
 						}
@@ -233,7 +233,7 @@
 	// owner, a session's end and a gang's second attempt, and the cancellation of a job
 	// some of whose tasks are done.
 	{"old-reports", func(cluster *Cluster, machines []*Machine) []string {
-		cluster.duplicateReportsFor(6, 45, 2, 7, 16, 25)
+		cluster.duplicateReportsUntil(45, 2, 7, 16, 25)
 		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeGang, 2, 2, 12))
 		cluster.Submit(8, NewSubmission("wk-5", protocol.ShapeArray, 8, 1, 9))
 		cluster.cutLinksFor(13, 29, cluster.machineLinks(machines[0]))
@@ -242,11 +242,11 @@
 		cluster.Cancel(18.5, "wk-5")
 		return []string{"wk-4"}
 	}, nil},
-	// All orders arrive again, up to 12 s after they were carried out, while work of a
+	// All commands arrive again, up to 12 s after they were carried out, while work of a
 	// lower rank is stopped for two gangs and begins elsewhere. Found by this day: a
 	// copy of a launch started a task again that had been stopped and reaped.
 	{"commands-duplicated", func(cluster *Cluster, _ []*Machine) []string {
-		cluster.duplicateOrdersFor(4, 40, 1, 0.2, 12)
+		cluster.duplicateCommandsFor(4, 40, 1, 0.2, 12)
 		low := bestEffort(4, 1)
 		high := withPriority("high")
 		cluster.Submit(8, NewSubmission("wk-4", protocol.ShapeArray, 8, 1, 20, low))
--- a/internal/simulator/random_delayed_message_faults_test.go
+++ b/internal/simulator/random_delayed_message_faults_test.go
@@ -9,23 +9,23 @@
 	"curlewspool/internal/protocol"
 )
 
-// delayedMessages are what the users saw rules break by, where two troubles meet. Each is a
-// pair of them by itself; random days have two or three beside another trouble.
+// delayedMessages are faults of messages, and pairs of faults that meet; random days have
+// two or three of them beside another fault.
 var delayedMessages = []fault{
-	{"orders are held up", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 0.01, 12*random.Float64(), "/orders")
+	{"commands are delayed", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 0.01, 12*random.Float64(), pathCommands)
 	}},
-	{"answers to orders are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 0.01, "/orders", "/status")
+	{"answers to commands are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 0.01, pathCommands, pathStatus)
 	}},
 	{"answers to reports are lost", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 6, "/v1/report")
+		cluster.delayRequestsFor(at, at+length, 0.1+0.4*random.Float64(), 0.001, 6, pathReport)
 	}},
-	{"orders are repeated", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.duplicateOrdersFor(at, at+2*length, 0.5, 0.2, 15)
+	{"commands are repeated", func(cluster *Cluster, _ *rand.Rand, _ []*Machine, at, length float64) {
+		cluster.duplicateCommandsFor(at, at+2*length, 0.5, 0.2, 15)
 	}},
 	{"writes are late", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
-		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 2, 12, "/multi")
+		cluster.delayRequestsFor(at, at+length, 0.1+0.5*random.Float64(), 2, 12, pathTransactions)
 	}},
 	{"the state service is slow", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
@@ -38,12 +38,12 @@
 		})
 		cluster.At(at+length, func() { cluster.State.ResponseDelay = nil })
 	}},
-	{"a part goes there and back", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"a shard goes there and back", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() { // its owner is refused until another has taken it, who then ends
 			process := cluster.nonLeaderOwner()
-			cluster.SetRefusal(process.name, "state", true)
+			cluster.SetRefusal(process.name, stateHost, true)
 			cluster.after(env.Seconds(4+4*random.Float64()), func() {
-				cluster.SetRefusal(process.name, "state", false)
+				cluster.SetRefusal(process.name, stateHost, false)
 				if taker := cluster.nonLeaderOwner(); taker.running && taker != process {
 					taker.Crash()
 					cluster.after(env.Seconds(0.05+length*random.Float64()), taker.Start)
@@ -79,16 +79,21 @@
 		})
 	}},
 	{"refused alone, then down for all", func(cluster *Cluster, random *rand.Rand, machines []*Machine, at, length float64) {
-		g := refusalThenOutage{refused: []func(*Cluster) []string{leaderOnly, largestOwnerOnly, leaderAndLargestOwner}[random.IntN(3)], length: length, outage: length * random.Float64(), back: random.IntN(3) == 0}
+		combination := refusalThenOutage{
+			refused:         []func(*Cluster) []string{leaderOnly, largestOwnerOnly, leaderAndLargestOwner}[random.IntN(3)],
+			length:          length,
+			outageAfter:     length * random.Float64(),
+			restartsQuickly: random.IntN(3) == 0,
+		}
 		if random.IntN(2) == 0 {
-			g.outage = 0
+			combination.outageAfter = 0
 		}
-		cluster.inject(&g, machines, at, (0.5+random.Float64())*cluster.Settings.Deployment.Workers.Cancel)
+		combination.inject(cluster, machines, at, (0.5+random.Float64())*cluster.Settings.Deployment.Workers.Cancel)
 		for i := range 3 {
 			cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-%d", i+1))
 		}
 	}},
-	{"the leader is cut off with its workers, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"the leader is cut off with its machines, and jobs are cancelled", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.At(at, func() {
 			cluster.after(env.Seconds(3*length), cluster.IsolateController(cluster.leaderProcess().name))
 		})
@@ -103,7 +108,7 @@
 				ofClass("apart")))
 		}
 		for range 2 + random.IntN(3) {
-			cluster.restartQuickly(at+2*length*random.Float64(), cluster.randomMoment(random).Seconds(), func() *ControllerProcess { return cluster.Controllers[cluster.controllerNames[random.IntN(3)]] })
+			cluster.restartQuickly(at+2*length*random.Float64(), cluster.randomMoment(random).Seconds(), cluster.randomProcess(random))
 		}
 	}},
 }
--- a/internal/simulator/random_unreachable_machine_faults_test.go
+++ b/internal/simulator/random_unreachable_machine_faults_test.go
@@ -8,9 +8,10 @@
 	"curlewspool/internal/protocol"
 )
 
-// unreachableMachines are the same for random days; see delayedMessages.
+// unreachableMachines are combined faults in which machines, zones or controllers are out of
+// reach.
 var unreachableMachines = []fault{
-	{"called off as the leader is refused, then down for all", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
+	{"cancelled as the leader is refused, then down for all", func(cluster *Cluster, random *rand.Rand, _ []*Machine, at, length float64) {
 		cluster.DropCancellationNotices = random.IntN(2) == 0
 		cluster.At(at, func() { // with half of the machines of each hung for a while, within its lease
 			for i := range 3 {
@@ -23,8 +24,8 @@
 				cluster.requestCancellation(fmt.Sprintf("wk-%d", i+1))
 			}
 			name := cluster.leaderProcess().name
-			cluster.after(env.Seconds(0.3*random.Float64()), func() { cluster.SetRefusal(name, "state", true) })
-			cluster.after(env.Seconds(0.5+length), func() { cluster.SetRefusal(name, "state", false) })
+			cluster.after(env.Seconds(0.3*random.Float64()), func() { cluster.SetRefusal(name, stateHost, true) })
+			cluster.after(env.Seconds(0.5+length), func() { cluster.SetRefusal(name, stateHost, false) })
 		})
 		cluster.At(at+0.4+random.Float64(), func() {
 			cluster.State.StartOutage(env.Seconds((0.6 + 0.6*random.Float64()) * cluster.Settings.Deployment.Workers.Cancel))
@@ -48,7 +49,7 @@
 			cluster.cutLinksFor(at, at+3*length*random.Float64(), cluster.machineLinks(machines[random.IntN(len(machines))]))
 		}
 		for range 1 + random.IntN(3) {
-			cluster.restartQuickly(at+length*random.Float64(), 6*random.Float64(), func() *ControllerProcess { return cluster.Controllers[cluster.controllerNames[random.IntN(3)]] })
+			cluster.restartQuickly(at+length*random.Float64(), 6*random.Float64(), cluster.randomProcess(random))
 		}
 		cluster.Cancel(at+length*random.Float64(), fmt.Sprintf("wk-l%d", random.IntN(3)))
 	}},
