--- a/cmd/curlewctl/nomad.go
+++ b/cmd/curlewctl/nomad.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return nomad.Jobs(n, rules)
+		return nomad.PlanJobs(n, rules)
 	}
 	flags := func(c *cobra.Command) *cobra.Command {
 		f := c.Flags()
@@ -105,7 +105,7 @@
 			}
 			var out []nativeJSON
 			for _, n := range p.Jobs {
-				out = append(out, nativeJSON{*n.Job.ID, n.Group, n.Words(), n.Assumed})
+				out = append(out, nativeJSON{*n.Job.ID, n.Group, n.ProtocolFields(), n.Assumed})
 			}
 			return show(c.OutOrStdout(), asJSON, out, func(w *bytes.Buffer) {
 				for _, n := range p.Jobs {
--- /dev/null
+++ b/internal/nomad/attributes.go
@@ -0,0 +1,111 @@
+package nomad
+
+import (
+	"time"
+
+	"github.com/zclconf/go-cty/cty"
+	"github.com/zclconf/go-cty/cty/convert"
+)
+
+// checkFields refuses each attribute and block below a block, whose path is given,
+// that the table Fields does not list or lists as refused.
+func (c *converter) checkFields(block *Block, path string) {
+	for _, name := range sortedKeys(block.Attributes) {
+		fieldPath := joinPath(path, name)
+		position := block.Attributes[name].Position
+		switch field := fieldsByPath[fieldPath]; {
+		case field == nil:
+			c.report(position, "%s is no field of a job file", fieldPath)
+		case field.Standing == Refused:
+			c.report(position, "%s cannot be honoured: %s", fieldPath, field.Note)
+		}
+	}
+	for _, nested := range block.Blocks {
+		blockPath := joinPath(path, nested.Type)
+		switch field := fieldsByPath[blockPath+"/"]; {
+		case field == nil:
+			c.report(nested.Position, "%s is no block of a job file", blockPath)
+		case field.Standing == Refused:
+			c.report(nested.Position, "%s cannot be honoured: %s", blockPath, field.Note)
+		case freeFormBlocks[blockPath] || field.Standing == Harmless:
+		case nested.Type == "constraint" || nested.Type == "spread": // checked where they are converted
+		default:
+			c.checkFields(nested, blockPath)
+		}
+	}
+}
+
+// joinPath returns the path of a field below path, which is "" for the job.
+func joinPath(path, name string) string {
+	if path == "" {
+		return name
+	}
+	return path + "." + name
+}
+
+// text returns an attribute as a string, or the fallback without it.
+func (c *converter) text(block *Block, name, fallback string) string {
+	attribute, ok := block.Attributes[name]
+	if !ok {
+		return fallback
+	}
+	converted, err := convert.Convert(attribute.Value, cty.String)
+	if err != nil || converted.IsNull() {
+		c.report(attribute.Position, "%s must be text", name)
+		return fallback
+	}
+	return converted.AsString()
+}
+
+// number returns an attribute as a number, or the fallback without it.
+func (c *converter) number(block *Block, name string, fallback float64) float64 {
+	attribute, ok := block.Attributes[name]
+	if !ok {
+		return fallback
+	}
+	converted, err := convert.Convert(attribute.Value, cty.Number)
+	if err != nil || converted.IsNull() {
+		c.report(attribute.Position, "%s must be a number", name)
+		return fallback
+	}
+	return asFloat(converted)
+}
+
+// seconds returns a duration attribute in seconds: text such as "30s" in HCL,
+// nanoseconds in the JSON form. Without it the result is the fallback.
+func (c *converter) seconds(block *Block, name string, fallback float64) float64 {
+	attribute, ok := block.Attributes[name]
+	if !ok {
+		return fallback
+	}
+	if attribute.Value.Type() == cty.Number {
+		return asFloat(attribute.Value) / 1e9
+	}
+	duration, err := time.ParseDuration(c.text(block, name, ""))
+	if err != nil || duration < 0 {
+		c.report(attribute.Position, "%s must be a duration such as 30s", name)
+		return fallback
+	}
+	return duration.Seconds()
+}
+
+// asFloat returns the nearest float64 of a number.
+func asFloat(number cty.Value) float64 {
+	float, _ := number.AsBigFloat().Float64()
+	return float
+}
+
+// stringElements returns the strings in a list and leaves other elements out.
+func stringElements(list cty.Value) []string {
+	if !list.CanIterateElements() {
+		return nil
+	}
+	var texts []string
+	for iterator := list.ElementIterator(); iterator.Next(); {
+		_, element := iterator.Element()
+		if element.Type() == cty.String && !element.IsNull() {
+			texts = append(texts, element.AsString())
+		}
+	}
+	return texts
+}
--- /dev/null
+++ b/internal/nomad/constraints.go
@@ -0,0 +1,107 @@
+package nomad
+
+import (
+	"slices"
+	"strings"
+)
+
+// machineConstraint is one constraint block: machine types, or a zone.
+type machineConstraint struct {
+	machineTypes []string // nil: any
+	zone         string   // "": any
+}
+
+// applyConstraints narrows the machine types and the zone by the constraints of the
+// job, the group and the task. No type at all, or two zones, is refused.
+func (c *groupConverter) applyConstraints(zone string) machineConstraint {
+	allowed := machineConstraint{zone: zone}
+	lastPosition := ""
+	for _, level := range []*Block{c.job, c.group, c.task} {
+		for _, block := range level.blocksOfType("constraint") {
+			constraint := c.constraint(block)
+			if constraint.machineTypes != nil {
+				allowed.machineTypes = intersect(allowed.machineTypes, constraint.machineTypes)
+				lastPosition = block.Position
+			}
+			if constraint.zone == "" {
+				continue
+			}
+			if allowed.zone != "" && constraint.zone != allowed.zone {
+				c.report(block.Position, "zones %s and %s leave nothing", allowed.zone, constraint.zone)
+			}
+			allowed.zone = constraint.zone
+		}
+	}
+	if allowed.machineTypes != nil && len(allowed.machineTypes) == 0 {
+		c.report(lastPosition, "the constraints leave no machine type")
+	}
+	return allowed
+}
+
+// intersect returns the elements of a that are in b, too; nil stands for all.
+func intersect(a, b []string) []string {
+	if a == nil {
+		return b
+	}
+	common := []string{}
+	for _, element := range a {
+		if slices.Contains(b, element) {
+			common = append(common, element)
+		}
+	}
+	return common
+}
+
+// constraint converts one constraint block; what cannot be honoured is reported and
+// constrains nothing.
+func (c *converter) constraint(block *Block) machineConstraint {
+	for _, name := range sortedKeys(block.Attributes) {
+		if name != "attribute" && name != "operator" && name != "value" {
+			c.report(block.Attributes[name].Position, "constraint: %s cannot be honoured; use attribute, operator and value", name)
+		}
+	}
+	attribute := c.text(block, "attribute", "")
+	operator := c.text(block, "operator", "=")
+	value := c.text(block, "value", "")
+	values := []string{value}
+	switch operator {
+	case "=", "==", "is":
+	case "set_contains_any":
+		values = strings.Split(value, ",")
+		for i := range values {
+			values[i] = strings.TrimSpace(values[i])
+		}
+	default:
+		c.report(block.Position, "constraint: operator %q cannot be honoured; =, ==, is and set_contains_any can", operator)
+		return machineConstraint{}
+	}
+	switch attribute {
+	case "${node.class}", "${attr.machine.type}":
+		return machineConstraint{machineTypes: values}
+	case "${node.datacenter}", "${attr.zone}":
+		if len(values) != 1 {
+			c.report(block.Position, "constraint: one zone")
+			return machineConstraint{}
+		}
+		return machineConstraint{zone: value}
+	}
+	c.report(block.Position, "constraint: %s cannot be honoured; ${node.class} is the machine type, ${node.datacenter} the zone", attribute)
+	return machineConstraint{}
+}
+
+// spreadsOverZones converts the spread blocks of the job and the group.
+func (c *groupConverter) spreadsOverZones(singleZone bool, zone string) bool {
+	spread := false
+	for _, level := range []*Block{c.job, c.group} {
+		for _, block := range level.blocksOfType("spread") {
+			spread = true
+			if c.text(block, "attribute", "") != "${node.datacenter}" || len(block.Blocks) > 0 {
+				c.report(block.Position, "spread: only over ${node.datacenter}, without targets: at most half of the tasks in a zone")
+			}
+		}
+	}
+	if spread && (singleZone || zone != "") {
+		c.report(c.group.Position, "tasks cannot be spread over zones and be in one")
+	}
+	return spread
+}
--- /dev/null
+++ b/internal/nomad/expressions.go
@@ -0,0 +1,179 @@
+package nomad
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"regexp"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+	"github.com/zclconf/go-cty/cty"
+)
+
+// runtimeNames are replaced on the machine that runs the task; in a file they stay
+// as they are written.
+var runtimeNames = regexp.MustCompile(`^(NOMAD_[A-Za-z0-9_]+|node|attr|meta|env|device)$`)
+
+// Reasons why a runtime name cannot be kept as it is written. They do not reach the
+// user: evaluate reports all of them alike.
+var (
+	errValueAndObject = errors.New("both a value and an object of values")
+	errIndexNotString = errors.New("an index that is not a string")
+	errSplat          = errors.New("a step that is neither an attribute nor an index")
+)
+
+// evaluate evaluates an expression within the bounds; runtime names stay as they are
+// written. The result is false if a problem was reported.
+func (r *hclReader) evaluate(expression hcl.Expression, context *hcl.EvalContext) (cty.Value, bool) {
+	if syntax, ok := expression.(hclsyntax.Expression); ok && forDepth(syntax) > maxForDepth {
+		r.report(expression.Range(), "for expressions inside each other more than %d deep", maxForDepth)
+		return cty.NilVal, false
+	}
+	verbatim, ok := r.runtimeValues(expression)
+	if !ok {
+		return cty.NilVal, false
+	}
+	if len(verbatim) > 0 {
+		context = context.NewChild()
+		context.Variables = verbatim
+	}
+	value, diagnostics := expression.Value(context)
+	if diagnostics.HasErrors() {
+		r.reportDiagnostics(diagnostics)
+		return cty.NilVal, false
+	}
+	if !value.IsWhollyKnown() {
+		r.report(expression.Range(), "the value cannot be worked out")
+		return cty.NilVal, false
+	}
+	if valueSize(value) > maxValueSize {
+		r.report(expression.Range(), "the value is larger than %d bytes", maxValueSize)
+		return cty.NilVal, false
+	}
+	return value, true
+}
+
+// runtimeValues returns for each runtime name in an expression the value that stands
+// for it: its own spelling.
+func (r *hclReader) runtimeValues(expression hcl.Expression) (map[string]cty.Value, bool) {
+	verbatim := map[string]cty.Value{}
+	for _, traversal := range expression.Variables() {
+		root := traversal.RootName()
+		if !runtimeNames.MatchString(root) {
+			continue
+		}
+		spelling := spellTraversal(traversal)
+		value, err := withPath(verbatim[root], traversal[1:], "${"+spelling+"}")
+		if err != nil {
+			r.report(traversal.SourceRange(), "%s is used both as a value and as a group of values", spelling)
+			return nil, false
+		}
+		verbatim[root] = value
+	}
+	return verbatim, true
+}
+
+// forDepth returns how deep for expressions are nested: the work grows with the
+// power of it.
+func forDepth(expression hclsyntax.Expression) int {
+	walker := &forDepthWalker{}
+	_ = hclsyntax.Walk(expression, walker) // the walker returns no diagnostics
+	return walker.deepest
+}
+
+// forDepthWalker implements hclsyntax.Walker.
+type forDepthWalker struct{ depth, deepest int }
+
+// Enter counts a for expression on the way in.
+func (w *forDepthWalker) Enter(node hclsyntax.Node) hcl.Diagnostics {
+	if _, ok := node.(*hclsyntax.ForExpr); ok {
+		w.depth++
+		w.deepest = max(w.deepest, w.depth)
+	}
+	return nil
+}
+
+// Exit counts a for expression on the way out.
+func (w *forDepthWalker) Exit(node hclsyntax.Node) hcl.Diagnostics {
+	if _, ok := node.(*hclsyntax.ForExpr); ok {
+		w.depth--
+	}
+	return nil
+}
+
+// spellTraversal writes a traversal as it stands in the file.
+func spellTraversal(traversal hcl.Traversal) string {
+	spelling := traversal.RootName()
+	for _, step := range traversal[1:] {
+		switch step := step.(type) {
+		case hcl.TraverseAttr:
+			spelling += "." + step.Name
+		case hcl.TraverseIndex:
+			if step.Key.Type() == cty.String {
+				spelling += fmt.Sprintf("[%q]", step.Key.AsString())
+			}
+		}
+	}
+	return spelling
+}
+
+// withPath returns value, an object or NilVal, with text added at the end of the
+// path.
+func withPath(value cty.Value, path hcl.Traversal, text string) (cty.Value, error) {
+	if len(path) == 0 {
+		if value != cty.NilVal && value.Type() != cty.String {
+			return value, errValueAndObject
+		}
+		return cty.StringVal(text), nil
+	}
+	members := map[string]cty.Value{}
+	if value != cty.NilVal {
+		if !value.Type().IsObjectType() {
+			return value, errValueAndObject
+		}
+		maps.Copy(members, value.AsValueMap())
+	}
+	key, err := stepName(path[0])
+	if err != nil {
+		return value, err
+	}
+	member, err := withPath(members[key], path[1:], text)
+	if err != nil {
+		return value, err
+	}
+	members[key] = member
+	return cty.ObjectVal(members), nil
+}
+
+// stepName returns the attribute or string index that a step selects.
+func stepName(step hcl.Traverser) (string, error) {
+	switch step := step.(type) {
+	case hcl.TraverseAttr:
+		return step.Name, nil
+	case hcl.TraverseIndex:
+		if step.Key.Type() != cty.String {
+			return "", errIndexNotString
+		}
+		return step.Key.AsString(), nil
+	default:
+		return "", errSplat
+	}
+}
+
+// valueOverhead is what a value is taken to occupy besides its text, in bytes.
+const valueOverhead = 16
+
+// valueSize estimates the bytes that a value occupies; it stops counting soon after
+// maxValueSize.
+func valueSize(value cty.Value) int {
+	size := 0
+	_ = cty.Walk(value, func(_ cty.Path, part cty.Value) (bool, error) { // the callback returns no error
+		size += valueOverhead
+		if part.Type() == cty.String && part.IsKnown() && !part.IsNull() {
+			size += len(part.AsString())
+		}
+		return size <= maxValueSize, nil
+	})
+	return size
+}
--- a/internal/nomad/fields.go
+++ b/internal/nomad/fields.go
@@ -1,16 +1,29 @@
 package nomad
 
-// Standing of a field of the published job specification.
+// Standing is what becomes of a field of the published job specification.
 type Standing int
 
-// A field is honoured, refused with a reason, or harmless: it cannot change what
-// runs, where, or how often.
+// Standings of a field.
 const (
-	Honoured Standing = iota
-	Refused
-	Harmless
+	Honoured Standing = iota // converted
+	Refused                  // a file that has it is refused with the reason
+	Harmless                 // ignored: it cannot change what runs, where, or how often
 )
 
+// String returns the word that docs/nomad.md uses.
+func (s Standing) String() string {
+	switch s {
+	case Honoured:
+		return "honoured"
+	case Refused:
+		return "refused"
+	case Harmless:
+		return "harmless"
+	default:
+		return "unknown"
+	}
+}
+
 // Field is one attribute or block of the specification.
 type Field struct {
 	Path     string // below job, such as group.task.resources.cpu; a block ends in /
@@ -18,6 +31,7 @@
 	Note     string // honoured: as what; refused, harmless: why
 }
 
+// Reasons that several fields share.
 const (
 	oneProcess = "a task here is one process of a described command: there is no network of its own"
 	classRule  = "how often a task runs again is the class's rule, not the file's (docs/nomad.md)"
@@ -126,26 +140,47 @@
 	{"group.task.volume_mount/", Refused, noStore},
 }
 
-// MetaKeys are the keys of meta that say what the specification cannot.
+// Keys of meta that say what the specification cannot; all start with metaPrefix.
+const (
+	metaPrefix     = "curlew_"
+	metaClass      = "curlew_class"
+	metaTeam       = "curlew_team"
+	metaEstimate   = "curlew_estimate_s"
+	metaCheckpoint = "curlew_checkpoint_s"
+	metaDue        = "curlew_due_s"
+	metaImageGB    = "curlew_image_gb"
+	metaGang       = "curlew_gang"
+	metaOneZone    = "curlew_one_zone"
+	metaSpot       = "curlew_spot"
+)
+
+// MetaKeys describes each of our keys of meta.
 var MetaKeys = map[string]string{
-	"curlew_class":        "class of jobs (trade)",
-	"curlew_team":         "team (crew)",
-	"curlew_estimate_s":   "expected run time of a task in seconds",
-	"curlew_checkpoint_s": "seconds of progress between checkpoints",
-	"curlew_due_s":        "deadline in seconds from submission",
-	"curlew_image_gb":     "size of the image in GB",
-	"curlew_gang":         "yes: all tasks of the group run at the same time or none does",
-	"curlew_one_zone":     "yes: all tasks in one zone",
-	"curlew_spot":         "yes or no: may use spot machines",
+	metaClass:      "class of jobs (trade)",
+	metaTeam:       "team (crew)",
+	metaEstimate:   "expected run time of a task in seconds",
+	metaCheckpoint: "seconds of progress between checkpoints",
+	metaDue:        "deadline in seconds from submission",
+	metaImageGB:    "size of the image in GB",
+	metaGang:       "yes: all tasks of the group run at the same time or none does",
+	metaOneZone:    "yes: all tasks in one zone",
+	metaSpot:       "yes or no: may use spot machines",
 }
 
-// free blocks hold whatever keys their user likes.
-var free = map[string]bool{"meta": true, "group.meta": true, "group.task.meta": true, "group.task.env": true, "group.task.config": true}
+// freeFormBlocks hold whatever keys their user likes.
+var freeFormBlocks = map[string]bool{
+	"meta":              true,
+	"group.meta":        true,
+	"group.task.meta":   true,
+	"group.task.env":    true,
+	"group.task.config": true,
+}
 
-var byPath = func() map[string]*Field {
-	m := map[string]*Field{}
+// fieldsByPath indexes Fields.
+var fieldsByPath = func() map[string]*Field {
+	index := map[string]*Field{}
 	for i := range Fields {
-		m[Fields[i].Path] = &Fields[i]
+		index[Fields[i].Path] = &Fields[i]
 	}
-	return m
+	return index
 }()
--- /dev/null
+++ b/internal/nomad/functions.go
@@ -0,0 +1,132 @@
+package nomad
+
+import (
+	"fmt"
+	"regexp"
+
+	"github.com/zclconf/go-cty/cty"
+	"github.com/zclconf/go-cty/cty/function"
+	"github.com/zclconf/go-cty/cty/function/stdlib"
+)
+
+// errValueTooLarge is the error of a function whose result would be too large.
+var errValueTooLarge = fmt.Errorf("the result is larger than %d bytes", maxValueSize)
+
+// boundedBy wraps a function so that it runs only if its result, of which sizeLimit
+// gives an upper bound from the arguments, is small enough.
+func boundedBy(sizeLimit func(args []cty.Value) int, wrapped function.Function) function.Function {
+	return function.New(&function.Spec{
+		Params:   wrapped.Params(),
+		VarParam: wrapped.VarParam(),
+		Type:     wrapped.ReturnTypeForValues,
+		Impl: func(args []cty.Value, _ cty.Type) (cty.Value, error) {
+			if sizeLimit(args) > maxValueSize {
+				return cty.NilVal, errValueTooLarge
+			}
+			return wrapped.Call(args)
+		},
+	})
+}
+
+// totalSize adds up the sizes of values.
+func totalSize(values []cty.Value) int {
+	total := 0
+	for _, value := range values {
+		total += valueSize(value)
+	}
+	return total
+}
+
+// joinLimit allows for the separator between any two elements.
+func joinLimit(args []cty.Value) int {
+	separator, lists := args[0], args[1:]
+	return valueSize(separator)*(totalSize(lists)/valueOverhead+1) + totalSize(args)
+}
+
+// replaceLimit allows for a replacement at each byte of the text.
+func replaceLimit(args []cty.Value) int {
+	text, replacement := args[0], args[2]
+	return (valueSize(text) - valueOverhead + 1) * max(1, valueSize(replacement)-valueOverhead)
+}
+
+// wideVerb is a formatting verb whose width or precision has four digits or more.
+var wideVerb = regexp.MustCompile(`%[^a-zA-Z%]*[0-9*]{4,}`)
+
+// formatLimit refuses wide verbs, which would pad a short text to a long one.
+func formatLimit(args []cty.Value) int {
+	if wideVerb.MatchString(args[0].AsString()) {
+		return maxValueSize + 1
+	}
+	return totalSize(args)
+}
+
+// rangeLimit refuses large bounds and small steps.
+func rangeLimit(args []cty.Value) int {
+	for _, arg := range args {
+		if number := asFloat(arg); number > maxItems || number < -maxItems {
+			return maxValueSize + 1
+		}
+	}
+	if len(args) == 3 {
+		if step := asFloat(args[2]); step < 1 && step > -1 {
+			return maxValueSize + 1
+		}
+	}
+	return 0
+}
+
+// functions are those of the published language that can neither read the machine
+// nor make a large value out of a small one.
+var functions = map[string]function.Function{
+	"abs":             stdlib.AbsoluteFunc,
+	"ceil":            stdlib.CeilFunc,
+	"floor":           stdlib.FloorFunc,
+	"max":             stdlib.MaxFunc,
+	"min":             stdlib.MinFunc,
+	"signum":          stdlib.SignumFunc,
+	"parseint":        stdlib.ParseIntFunc,
+	"upper":           stdlib.UpperFunc,
+	"lower":           stdlib.LowerFunc,
+	"title":           stdlib.TitleFunc,
+	"trimspace":       stdlib.TrimSpaceFunc,
+	"trim":            stdlib.TrimFunc,
+	"trimprefix":      stdlib.TrimPrefixFunc,
+	"trimsuffix":      stdlib.TrimSuffixFunc,
+	"chomp":           stdlib.ChompFunc,
+	"strlen":          stdlib.StrlenFunc,
+	"substr":          stdlib.SubstrFunc,
+	"split":           stdlib.SplitFunc,
+	"strrev":          stdlib.ReverseFunc,
+	"regex":           stdlib.RegexFunc,
+	"concat":          stdlib.ConcatFunc,
+	"contains":        stdlib.ContainsFunc,
+	"distinct":        stdlib.DistinctFunc,
+	"element":         stdlib.ElementFunc,
+	"flatten":         stdlib.FlattenFunc,
+	"keys":            stdlib.KeysFunc,
+	"values":          stdlib.ValuesFunc,
+	"length":          stdlib.LengthFunc,
+	"lookup":          stdlib.LookupFunc,
+	"merge":           stdlib.MergeFunc,
+	"reverse":         stdlib.ReverseListFunc,
+	"slice":           stdlib.SliceFunc,
+	"sort":            stdlib.SortFunc,
+	"zipmap":          stdlib.ZipmapFunc,
+	"compact":         stdlib.CompactFunc,
+	"coalesce":        stdlib.CoalesceFunc,
+	"setunion":        stdlib.SetUnionFunc,
+	"setintersection": stdlib.SetIntersectionFunc,
+	"jsonencode":      stdlib.JSONEncodeFunc,
+	"jsondecode":      stdlib.JSONDecodeFunc,
+	"tostring":        stdlib.MakeToFunc(cty.String),
+	"tonumber":        stdlib.MakeToFunc(cty.Number),
+	"tobool":          stdlib.MakeToFunc(cty.Bool),
+	"tolist":          stdlib.MakeToFunc(cty.List(cty.DynamicPseudoType)),
+	"toset":           stdlib.MakeToFunc(cty.Set(cty.DynamicPseudoType)),
+	"tomap":           stdlib.MakeToFunc(cty.Map(cty.DynamicPseudoType)),
+
+	"join":    boundedBy(joinLimit, stdlib.JoinFunc),
+	"replace": boundedBy(replaceLimit, stdlib.ReplaceFunc),
+	"format":  boundedBy(formatLimit, stdlib.FormatFunc),
+	"range":   boundedBy(rangeLimit, stdlib.RangeFunc),
+}
--- /dev/null
+++ b/internal/nomad/group.go
@@ -0,0 +1,319 @@
+package nomad
+
+import (
+	"fmt"
+	"math"
+	"sort"
+	"strconv"
+	"strings"
+
+	"github.com/zclconf/go-cty/cty"
+	"github.com/zclconf/go-cty/cty/convert"
+
+	"curlewspool/internal/protocol"
+)
+
+// What the published specification assumes of a task that does not say it.
+const (
+	defaultCPUMHz      = 100.0
+	defaultMemoryMB    = 300.0
+	defaultKillTimeout = 5.0 // seconds
+)
+
+const (
+	maxTasks      = 100000
+	maxMetaAmount = 1e9
+	mbPerGB       = 1024
+)
+
+// metaEntry is the value of a meta key and where it stands.
+type metaEntry struct {
+	value    string
+	position string
+}
+
+// mergeMeta returns the meta of blocks; later blocks override earlier ones.
+func mergeMeta(blocks ...*Block) map[string]metaEntry {
+	entries := map[string]metaEntry{}
+	for _, block := range blocks {
+		for _, meta := range block.blocksOfType("meta") {
+			for key, attribute := range meta.Attributes {
+				text, err := convert.Convert(attribute.Value, cty.String)
+				if err == nil && !text.IsNull() {
+					entries[key] = metaEntry{text.AsString(), attribute.Position}
+				}
+			}
+		}
+	}
+	return entries
+}
+
+// groupConverter converts one group. What the file leaves out is taken from the
+// operators' rules, and noted.
+type groupConverter struct {
+	*converter
+	job, group, task *Block
+	meta             map[string]metaEntry
+	class            string
+	classRules       Class
+	assumed          []string
+}
+
+// convertGroup converts a group into a native job without an id; nil if the group
+// has a problem.
+func (c *converter) convertGroup(job, group *Block, defaults jobDefaults) *NativeJob {
+	tasks := group.blocksOfType("task")
+	if len(tasks) != 1 {
+		c.report(group.Position, "a group of %d tasks: one is needed; %s", len(tasks), noHooks)
+		return nil
+	}
+	task := tasks[0]
+	converted := &groupConverter{
+		converter: c,
+		job:       job,
+		group:     group,
+		task:      task,
+		meta:      mergeMeta(job, group, task),
+	}
+	submission := converted.submission(defaults)
+	if submission == nil {
+		return nil
+	}
+	sort.Strings(converted.assumed)
+	return &NativeJob{Group: group.Labels[0], Job: submission, Assumed: converted.assumed}
+}
+
+// submission converts the group; nil if it has a problem. The order of the steps is
+// that in which problems are reported.
+func (c *groupConverter) submission(defaults jobDefaults) *protocol.Submission {
+	problemsBefore := len(c.problems)
+	c.checkMetaKeys()
+	c.chooseClass()
+	team := c.team()
+	estimate := c.estimate(defaults.shape)
+	checkpointInterval := c.metaAmount(metaCheckpoint, c.classRules.Checkpoint, "checkpoint interval")
+	imageGB := c.metaAmount(metaImageGB, c.classRules.ImageGb, "image size")
+	allowSpot := c.allowsSpot()
+	shape := c.shapeOf(defaults.shape)
+	singleZone := c.metaFlag(metaOneZone)
+	taskCount := c.taskCount()
+	checkpointDuration := c.checkpointDuration(checkpointInterval)
+	needs := c.taskNeeds()
+	memoryGB := needs.memoryMB / mbPerGB
+	constraint := c.applyConstraints(defaults.zone)
+	spreadZones := c.spreadsOverZones(singleZone, constraint.zone)
+	if len(c.problems) > problemsBefore {
+		return nil
+	}
+	submission := &protocol.Submission{
+		Class:              &c.class,
+		Team:               &team,
+		Shape:              &shape,
+		Priority:           &defaults.rank,
+		Tasks:              &taskCount,
+		Cores:              &needs.cores,
+		GPUs:               &needs.gpus,
+		MemoryGB:           &memoryGB,
+		Image:              &needs.image,
+		ImageGB:            &imageGB,
+		MachineTypes:       constraint.machineTypes,
+		SingleZone:         &singleZone,
+		SpreadZones:        &spreadZones,
+		AllowSpot:          &allowSpot,
+		Estimate:           &estimate,
+		CheckpointInterval: &checkpointInterval,
+		CheckpointDuration: &checkpointDuration,
+	}
+	if constraint.zone != "" {
+		submission.Zone = &constraint.zone
+	}
+	if deadline := c.metaAmount(metaDue, 0, ""); deadline > 0 {
+		submission.Deadline = &deadline
+	}
+	return submission
+}
+
+// assume notes what the file leaves out and what was taken for it.
+func (c *groupConverter) assume(format string, args ...any) {
+	c.assumed = append(c.assumed, fmt.Sprintf(format, args...))
+}
+
+// checkMetaKeys refuses unknown keys with our prefix: one of them is a misspelt key.
+func (c *groupConverter) checkMetaKeys() {
+	for _, key := range sortedKeys(c.meta) {
+		if strings.HasPrefix(key, metaPrefix) && MetaKeys[key] == "" {
+			c.report(c.meta[key].position, "meta %s is none of ours", key)
+		}
+	}
+}
+
+// chooseClass sets the class and its rules.
+func (c *groupConverter) chooseClass() {
+	c.class = c.meta[metaClass].value
+	if c.class == "" {
+		c.class = c.rules.Class
+		c.assume("class %s: meta %s is not there", c.class, metaClass)
+	}
+	rules, known := c.rules.Classes[c.class]
+	if !known {
+		c.report(c.task.Position, "class %q is not in the operators' rules", c.class)
+	}
+	c.classRules = rules
+}
+
+// team returns the team to which the job is charged.
+func (c *groupConverter) team() string {
+	team := c.meta[metaTeam].value
+	if team == "" {
+		team = c.rules.Team
+		c.assume("team %s: meta %s is not there", team, metaTeam)
+	}
+	return team
+}
+
+// metaAmount returns the number of a meta key, or the class's without it; what names
+// the number in the note of the assumption.
+func (c *groupConverter) metaAmount(key string, classDefault float64, what string) float64 {
+	entry, ok := c.meta[key]
+	if !ok {
+		if classDefault > 0 {
+			c.assume("%s %v, by class %s: meta %s is not there", what, classDefault, c.class, key)
+		}
+		return classDefault
+	}
+	amount, err := strconv.ParseFloat(entry.value, 64)
+	if err != nil || amount < 0 || amount > maxMetaAmount {
+		c.report(entry.position, "meta %s: %q is no amount", key, entry.value)
+	}
+	return amount
+}
+
+// metaFlag returns the yes or no of a meta key; without it, no.
+func (c *groupConverter) metaFlag(key string) bool {
+	entry := c.meta[key]
+	switch entry.value {
+	case "yes":
+		return true
+	case "", "no":
+	default:
+		c.report(entry.position, "meta %s: %q must be yes or no", key, entry.value)
+	}
+	return false
+}
+
+// estimate returns the expected run time of a task in seconds; services have none.
+func (c *groupConverter) estimate(shape protocol.JobShape) float64 {
+	if shape == protocol.ShapeService {
+		if entry, ok := c.meta[metaEstimate]; ok {
+			c.report(entry.position, "a service has no run time")
+		}
+		return 0
+	}
+	estimate := c.metaAmount(metaEstimate, c.classRules.Estimate, "estimate")
+	if estimate <= 0 {
+		c.report(c.task.Position, "no estimate of the run time: set meta %s, or one for class %s in the operators' rules", metaEstimate, c.class)
+	}
+	return estimate
+}
+
+// allowsSpot returns whether the tasks may use spot machines.
+func (c *groupConverter) allowsSpot() bool {
+	if _, ok := c.meta[metaSpot]; ok {
+		return c.metaFlag(metaSpot)
+	}
+	c.assume("spot machines %v, by class %s: meta %s is not there", c.classRules.Spot, c.class, metaSpot)
+	return c.classRules.Spot
+}
+
+// shapeOf returns the shape of the group: the job's, or a gang if meta says so.
+func (c *groupConverter) shapeOf(shape protocol.JobShape) protocol.JobShape {
+	if !c.metaFlag(metaGang) {
+		return shape
+	}
+	if shape == protocol.ShapeService {
+		c.report(c.meta[metaGang].position, "a service is no gang")
+		return shape
+	}
+	return protocol.ShapeGang
+}
+
+// taskCount returns the number of tasks.
+func (c *groupConverter) taskCount() uint64 {
+	count := c.number(c.group, "count", 1)
+	if count < 1 || count > maxTasks || count != math.Floor(count) {
+		c.report(c.group.positionOf("count"), "count %v: must be a whole number from 1 to %d", count, maxTasks)
+	}
+	return uint64(count)
+}
+
+// checkpointDuration converts kill_timeout, in seconds: the time to save a
+// checkpoint. Tasks without checkpoints are stopped at once.
+func (c *groupConverter) checkpointDuration(interval float64) float64 {
+	timeout := c.seconds(c.task, "kill_timeout", 0)
+	if interval <= 0 {
+		if timeout > defaultKillTimeout {
+			c.report(c.task.positionOf("kill_timeout"), "kill_timeout %vs: a task without checkpoints is stopped at once; set meta %s, or leave it out", timeout, metaCheckpoint)
+		}
+		return 0
+	}
+	return timeout
+}
+
+// taskNeeds are what a task takes of its machine, and its image.
+type taskNeeds struct {
+	image    string
+	cores    float64
+	gpus     float64
+	memoryMB float64
+}
+
+// taskNeeds reads the config and resources blocks of the task.
+func (c *groupConverter) taskNeeds() taskNeeds {
+	needs := taskNeeds{memoryMB: defaultMemoryMB}
+	hasResources := false
+	for _, block := range c.task.Blocks {
+		switch block.Type {
+		case "config":
+			needs.image = c.text(block, "image", "")
+		case "resources":
+			hasResources = true
+			c.addResources(&needs, block)
+		}
+	}
+	if needs.cores == 0 {
+		needs.cores = defaultCPUMHz / c.rules.MHz
+		c.assume("%.4g cores: the specification's 100 MHz, resources name none", needs.cores)
+	}
+	if !hasResources {
+		c.assume("300 MB of memory: the specification's, there are no resources")
+	}
+	if needs.cores < 0 || needs.memoryMB <= 0 || needs.gpus < 0 || needs.gpus != math.Floor(needs.gpus) {
+		c.report(c.task.Position, "resources must be positive, devices whole")
+	}
+	if needs.image == "" {
+		needs.image = "nomad." + c.job.Labels[0] + "." + c.task.label()
+		c.assume("image %s: the task's config names none", needs.image)
+	}
+	return needs
+}
+
+// addResources reads one resources block.
+func (c *groupConverter) addResources(needs *taskNeeds, resources *Block) {
+	_, hasCPU := resources.Attributes["cpu"]
+	_, hasCores := resources.Attributes["cores"]
+	if hasCPU && hasCores {
+		c.report(resources.positionOf("cores"), "cores and cpu cannot both be given")
+	}
+	needs.cores = c.number(resources, "cores", 0)
+	if hasCPU {
+		needs.cores = c.number(resources, "cpu", 0) / c.rules.MHz
+		c.assume("%.4g cores of %v MHz each, by the operators' rules", needs.cores, c.rules.MHz)
+	}
+	needs.memoryMB = c.number(resources, "memory", needs.memoryMB)
+	for _, device := range resources.blocksOfType("device") {
+		if len(device.Labels) != 1 || device.Labels[0] != "gpu" && device.Labels[0] != "nvidia/gpu" {
+			c.report(device.Position, "device %q: only gpu and nvidia/gpu are known", strings.Join(device.Labels, " "))
+		}
+		needs.gpus += c.number(device, "count", 1)
+	}
+}
--- /dev/null
+++ b/internal/nomad/hcl.go
@@ -0,0 +1,239 @@
+package nomad
+
+import (
+	"fmt"
+	"strings"
+
+	"github.com/hashicorp/hcl/v2"
+	"github.com/hashicorp/hcl/v2/hclsyntax"
+	"github.com/zclconf/go-cty/cty"
+)
+
+// hclReader evaluates one file in HCL.
+type hclReader struct {
+	file      string
+	source    []byte
+	context   *hcl.EvalContext
+	problems  Problems
+	nodeCount int // blocks and attributes so far
+}
+
+// Read evaluates a job file in HCL and returns its job block. The error is of type
+// Problems.
+func Read(file string, source []byte, inputs Inputs) (*Block, error) {
+	if err := checkSource(file, source); err != nil {
+		return nil, err
+	}
+	r := &hclReader{file: file, source: source}
+	parsed, diagnostics := hclsyntax.ParseConfig(source, file, hcl.InitialPos)
+	r.reportDiagnostics(diagnostics)
+	if len(r.problems) > 0 {
+		return nil, r.problems
+	}
+	top := r.topLevelBlocks(parsed.Body.(*hclsyntax.Body))
+	r.context = &hcl.EvalContext{Functions: functions, Variables: map[string]cty.Value{}}
+	r.evaluateVariables(top.variables, inputs)
+	r.evaluateLocals(top.locals)
+	if len(r.problems) > 0 {
+		return nil, r.problems
+	}
+	job := r.block(top.job.Type, top.job.Labels, top.job.Body, top.job.DefRange(), r.context)
+	if len(r.problems) > 0 {
+		return nil, r.problems
+	}
+	return job, nil
+}
+
+// topLevel holds the blocks of a file by their kind.
+type topLevel struct {
+	job       *hclsyntax.Block
+	variables []*hclsyntax.Block
+	locals    []*hclsyntax.Block
+}
+
+// topLevelBlocks sorts the blocks of a file by kind and reports what does not belong
+// there. The job is nil only if a problem was reported.
+func (r *hclReader) topLevelBlocks(body *hclsyntax.Body) topLevel {
+	for _, attribute := range body.Attributes {
+		r.report(attribute.SrcRange, "%q stands outside of any block", attribute.Name)
+	}
+	var top topLevel
+	for _, block := range body.Blocks {
+		switch {
+		case block.Type == "variable" && len(block.Labels) == 1:
+			top.variables = append(top.variables, block)
+		case block.Type == "locals":
+			top.locals = append(top.locals, block)
+		case block.Type == "job" && len(block.Labels) == 1 && top.job == nil:
+			top.job = block
+		case block.Type == "job":
+			r.report(block.DefRange(), "one job block with one label is needed")
+		default:
+			r.report(block.DefRange(), "%q is no block of a job file", block.Type)
+		}
+	}
+	if top.job == nil && len(r.problems) == 0 {
+		r.problems.add("%s: there is no job block", r.file)
+	}
+	return top
+}
+
+// position spells the start of a range.
+func position(place hcl.Range) string {
+	return fmt.Sprintf("%s:%d,%d", place.Filename, place.Start.Line, place.Start.Column)
+}
+
+// report notes a problem with its position and its source line.
+func (r *hclReader) report(place hcl.Range, format string, args ...any) {
+	r.problems.add("%s: %s%s", position(place), fmt.Sprintf(format, args...), r.quotedLine(place))
+}
+
+// quotedLine returns the source line of a place, on a line of its own and indented;
+// "" if the place is not in this file.
+func (r *hclReader) quotedLine(place hcl.Range) string {
+	lines := strings.Split(string(r.source), "\n")
+	if place.Filename != r.file || place.Start.Line <= 0 || place.Start.Line > len(lines) {
+		return ""
+	}
+	line := strings.TrimSpace(lines[place.Start.Line-1])
+	if len(line) > maxQuotedLineLen {
+		line = line[:maxQuotedLineLen] + "..."
+	}
+	return "\n    " + line
+}
+
+// reportDiagnostics notes the errors among the parser's diagnostics.
+func (r *hclReader) reportDiagnostics(diagnostics hcl.Diagnostics) {
+	for _, diagnostic := range diagnostics {
+		if diagnostic.Severity != hcl.DiagError {
+			continue
+		}
+		place := hcl.Range{Filename: r.file}
+		if diagnostic.Subject != nil {
+			place = *diagnostic.Subject
+		}
+		text := diagnostic.Summary
+		if diagnostic.Detail != "" {
+			text += ": " + diagnostic.Detail
+		}
+		r.report(place, "%s", strings.Join(strings.Fields(text), " "))
+	}
+}
+
+// countNode counts a block or attribute and returns false beyond maxNodes.
+func (r *hclReader) countNode(place hcl.Range) bool {
+	r.nodeCount++
+	if r.nodeCount == maxNodes+1 {
+		r.report(place, "more than %d blocks and attributes", maxNodes)
+	}
+	return r.nodeCount <= maxNodes
+}
+
+// block evaluates a block and those inside it.
+func (r *hclReader) block(blockType string, labels []string, body *hclsyntax.Body, place hcl.Range, context *hcl.EvalContext) *Block {
+	block := &Block{
+		Type:       blockType,
+		Labels:     labels,
+		Attributes: map[string]Attribute{},
+		Position:   position(place),
+	}
+	for _, name := range sortedKeys(body.Attributes) {
+		attribute := body.Attributes[name]
+		if !r.countNode(attribute.SrcRange) {
+			return block
+		}
+		if value, ok := r.evaluate(attribute.Expr, context); ok && !value.IsNull() {
+			block.Attributes[name] = Attribute{value, position(attribute.SrcRange)}
+		}
+	}
+	for _, nested := range body.Blocks {
+		if !r.countNode(nested.DefRange()) {
+			return block
+		}
+		if nested.Type == "dynamic" {
+			block.Blocks = append(block.Blocks, r.dynamicBlocks(nested, context)...)
+			continue
+		}
+		block.Blocks = append(block.Blocks, r.block(nested.Type, nested.Labels, nested.Body, nested.DefRange(), context))
+	}
+	return block
+}
+
+// dynamicBlocks returns a block for each element of a dynamic block's for_each.
+func (r *hclReader) dynamicBlocks(dynamic *hclsyntax.Block, context *hcl.EvalContext) []*Block {
+	forEach := dynamic.Body.Attributes["for_each"]
+	var content *hclsyntax.Block
+	for _, nested := range dynamic.Body.Blocks {
+		if nested.Type == "content" {
+			content = nested
+		}
+	}
+	if len(dynamic.Labels) != 1 || forEach == nil || content == nil {
+		r.report(dynamic.DefRange(), "a dynamic block needs a label, for_each and content")
+		return nil
+	}
+	iteratorName, ok := r.iteratorName(dynamic)
+	if !ok {
+		return nil
+	}
+	list, ok := r.evaluate(forEach.Expr, context)
+	if !ok {
+		return nil
+	}
+	if list.IsNull() || !list.CanIterateElements() || list.LengthInt() > maxItems {
+		r.report(forEach.SrcRange, "for_each must be a list, set or map of at most %d", maxItems)
+		return nil
+	}
+	var blocks []*Block
+	for iterator := list.ElementIterator(); iterator.Next(); {
+		key, value := iterator.Element()
+		element := cty.ObjectVal(map[string]cty.Value{"key": key, "value": value})
+		child := context.NewChild()
+		child.Variables = map[string]cty.Value{iteratorName: element}
+		labels, ok := r.dynamicLabels(dynamic, child)
+		if !ok || !r.countNode(dynamic.DefRange()) {
+			return blocks
+		}
+		blocks = append(blocks, r.block(dynamic.Labels[0], labels, content.Body, content.DefRange(), child))
+	}
+	return blocks
+}
+
+// iteratorName returns the name under which a dynamic block's content knows the
+// element: the iterator attribute, else the label.
+func (r *hclReader) iteratorName(dynamic *hclsyntax.Block) (string, bool) {
+	iterator := dynamic.Body.Attributes["iterator"]
+	if iterator == nil {
+		return dynamic.Labels[0], true
+	}
+	name := hcl.ExprAsKeyword(iterator.Expr)
+	if name == "" {
+		r.report(iterator.SrcRange, "iterator must be a name")
+		return "", false
+	}
+	return name, true
+}
+
+// dynamicLabels evaluates the labels attribute of a dynamic block for one element.
+func (r *hclReader) dynamicLabels(dynamic *hclsyntax.Block, context *hcl.EvalContext) ([]string, bool) {
+	attribute := dynamic.Body.Attributes["labels"]
+	if attribute == nil {
+		return nil, true
+	}
+	list, ok := r.evaluate(attribute.Expr, context)
+	if !ok {
+		return nil, false
+	}
+	if !list.CanIterateElements() {
+		r.report(attribute.SrcRange, "labels must be a list")
+		return nil, false
+	}
+	var labels []string
+	for iterator := list.ElementIterator(); iterator.Next(); {
+		_, label := iterator.Element()
+		if label.Type() == cty.String {
+			labels = append(labels, label.AsString())
+		}
+	}
+	return labels, true
+}
--- a/internal/nomad/json.go
+++ b/internal/nomad/json.go
@@ -10,206 +10,281 @@
 	"github.com/zclconf/go-cty/cty"
 )
 
-// The JSON form names fields as the published API does: TaskGroups, MemoryMB.
-// blocksOf says which of them are blocks, and under which name of the HCL form;
-// fieldsOf the fields that are spelt otherwise than by their words.
-var blocksOf = map[string]string{
-	"TaskGroups": "group", "Tasks": "task", "Constraints": "constraint", "Affinities": "affinity", "Spreads": "spread",
-	"SpreadTarget": "target", "Resources": "resources", "Devices": "device", "Networks": "network", "Services": "service",
-	"Templates": "template", "Artifacts": "artifact", "Volumes": "volume", "VolumeMounts": "volume_mount", "LogConfig": "logs",
-	"RestartPolicy": "restart", "ReschedulePolicy": "reschedule", "EphemeralDisk": "ephemeral_disk", "ParameterizedJob": "parameterized",
-	"Periodic": "periodic", "Update": "update", "Migrate": "migrate", "Meta": "meta", "Env": "env", "Config": "config", "Vault": "vault",
-	"Multiregion": "multiregion", "Scaling": "scaling", "ScalingPolicies": "scaling", "Lifecycle": "lifecycle", "DispatchPayload": "dispatch_payload",
-	"Consul": "consul", "Identity": "identity", "Identities": "identity", "CSIPluginConfig": "csi_plugin", "Disconnect": "disconnect",
-	"NUMA": "numa", "UI": "ui", "Actions": "action", "Secrets": "secret", "Schedule": "schedule",
+// jsonBlocks are the fields of the JSON form, which is named as the published API
+// (TaskGroups, MemoryMB), that are blocks of the HCL form, with the names there.
+var jsonBlocks = map[string]string{
+	"TaskGroups":       "group",
+	"Tasks":            "task",
+	"Constraints":      "constraint",
+	"Affinities":       "affinity",
+	"Spreads":          "spread",
+	"SpreadTarget":     "target",
+	"Resources":        "resources",
+	"Devices":          "device",
+	"Networks":         "network",
+	"Services":         "service",
+	"Templates":        "template",
+	"Artifacts":        "artifact",
+	"Volumes":          "volume",
+	"VolumeMounts":     "volume_mount",
+	"LogConfig":        "logs",
+	"RestartPolicy":    "restart",
+	"ReschedulePolicy": "reschedule",
+	"EphemeralDisk":    "ephemeral_disk",
+	"ParameterizedJob": "parameterized",
+	"Periodic":         "periodic",
+	"Update":           "update",
+	"Migrate":          "migrate",
+	"Meta":             "meta",
+	"Env":              "env",
+	"Config":           "config",
+	"Vault":            "vault",
+	"Multiregion":      "multiregion",
+	"Scaling":          "scaling",
+	"ScalingPolicies":  "scaling",
+	"Lifecycle":        "lifecycle",
+	"DispatchPayload":  "dispatch_payload",
+	"Consul":           "consul",
+	"Identity":         "identity",
+	"Identities":       "identity",
+	"CSIPluginConfig":  "csi_plugin",
+	"Disconnect":       "disconnect",
+	"NUMA":             "numa",
+	"UI":               "ui",
+	"Actions":          "action",
+	"Secrets":          "secret",
+	"Schedule":         "schedule",
 }
 
-var fieldsOf = map[string]string{
-	"ID": "id", "CPU": "cpu", "MemoryMB": "memory", "MemoryMaxMB": "memory_max", "DiskMB": "disk", "IOPS": "iops", "SizeMB": "size",
-	"LTarget": "attribute", "RTarget": "value", "Operand": "operator", "ConsulToken": "consul_token", "VaultToken": "vault_token",
+// jsonFields are the fields whose HCL name does not follow from their words.
+var jsonFields = map[string]string{
+	"ID":          "id",
+	"CPU":         "cpu",
+	"MemoryMB":    "memory",
+	"MemoryMaxMB": "memory_max",
+	"DiskMB":      "disk",
+	"IOPS":        "iops",
+	"SizeMB":      "size",
+	"LTarget":     "attribute",
+	"RTarget":     "value",
+	"Operand":     "operator",
+	"ConsulToken": "consul_token",
+	"VaultToken":  "vault_token",
 }
 
-// dropped are fields of the API's answers, which a file that was read back from
-// a server has; they say nothing of what is to run.
-var dropped = map[string]bool{"Status": true, "StatusDescription": true, "CreateIndex": true, "ModifyIndex": true, "JobModifyIndex": true,
-	"SubmitTime": true, "Stable": true, "ParentID": true, "Dispatched": true, "VersionTag": true, "NomadTokenID": true}
+// serverFields are added by a server to a job that is read back from it; they say
+// nothing of what is to run.
+var serverFields = map[string]bool{
+	"Status":            true,
+	"StatusDescription": true,
+	"CreateIndex":       true,
+	"ModifyIndex":       true,
+	"JobModifyIndex":    true,
+	"SubmitTime":        true,
+	"Stable":            true,
+	"ParentID":          true,
+	"Dispatched":        true,
+	"VersionTag":        true,
+	"NomadTokenID":      true,
+}
 
-// ReadJSON evaluates a job in the JSON form: {"Job": {...}} or the job itself.
-func ReadJSON(file string, src []byte) (*Node, error) {
-	if len(src) > MaxSource {
-		return nil, Problems{fmt.Sprintf("%s: larger than %d bytes", file, MaxSource)}
+// ReadJSON evaluates a job in the JSON form: {"Job": {...}} or the job itself. The
+// error is of type Problems.
+func ReadJSON(file string, source []byte) (*Block, error) {
+	if err := checkSource(file, source); err != nil {
+		return nil, err
+	}
+	fields, err := decodeObject(file, source)
+	if err != nil {
+		return nil, err
+	}
+	if job, ok := fields["Job"].(map[string]any); ok {
+		fields = job
+	}
+	r := &jsonReader{file: file}
+	job := r.block("job", fields, "Job")
+	if len(r.problems) > 0 {
+		return nil, r.problems
 	}
-	if line := tooDeep(src); line > 0 {
-		return nil, Problems{fmt.Sprintf("%s:%d: brackets inside each other more than %d deep", file, line, maxDepth)}
+	if len(job.Labels) > 0 {
+		return job, nil
 	}
-	d := json.NewDecoder(bytes.NewReader(src))
-	d.UseNumber()
-	var v map[string]any
-	if err := d.Decode(&v); err != nil {
-		at := d.InputOffset()
+	id, ok := job.Attributes["id"]
+	if !ok || id.Value.Type() != cty.String {
+		return nil, Problems{file + ": Job: an ID is needed"}
+	}
+	job.Labels = []string{id.Value.AsString()}
+	return job, nil
+}
+
+// decodeObject decodes the one JSON object of a file and names the line of an error.
+func decodeObject(file string, source []byte) (map[string]any, error) {
+	decoder := json.NewDecoder(bytes.NewReader(source))
+	decoder.UseNumber()
+	var fields map[string]any
+	if err := decoder.Decode(&fields); err != nil {
+		offset := decoder.InputOffset()
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
-			at = syntax.Offset
+			offset = syntax.Offset
 		}
-		line := 1 + bytes.Count(src[:min(int(at), len(src))], []byte("\n"))
+		line := 1 + bytes.Count(source[:min(int(offset), len(source))], []byte("\n"))
 		return nil, Problems{fmt.Sprintf("%s:%d: not JSON: %v", file, line, err)}
 	}
-	if d.More() {
+	if decoder.More() {
 		return nil, Problems{file + ": more than one value"}
 	}
-	if job, ok := v["Job"].(map[string]any); ok {
-		v = job
-	}
-	r := &jsonReader{file: file}
-	n := r.block("job", v, "Job")
-	if len(r.probs) > 0 {
-		return nil, r.probs
-	}
-	if len(n.Labels) == 0 {
-		if id, ok := n.Attrs["id"]; ok && id.V.Type() == cty.String {
-			n.Labels = []string{id.V.AsString()}
-		} else {
-			return nil, Problems{file + ": Job: an ID is needed"}
-		}
-	}
-	return n, nil
+	return fields, nil
 }
 
+// jsonReader evaluates one file in the JSON form.
 type jsonReader struct {
-	file  string
-	probs Problems
-	nodes int
+	file      string
+	problems  Problems
+	nodeCount int // blocks and fields so far
 }
 
-// snake spells a field's words in the HCL form's way.
-func snake(s string) string {
-	if f, ok := fieldsOf[s]; ok {
-		return f
+// hclName spells the words of a field as the HCL form does: MaxRetries, max_retries.
+func hclName(jsonName string) string {
+	if name, ok := jsonFields[jsonName]; ok {
+		return name
 	}
-	var b strings.Builder
-	for i, c := range s {
-		if c >= 'A' && c <= 'Z' {
+	var name strings.Builder
+	for i, letter := range jsonName {
+		if letter >= 'A' && letter <= 'Z' {
 			if i > 0 {
-				b.WriteByte('_')
+				name.WriteByte('_')
 			}
-			c += 'a' - 'A'
+			letter += 'a' - 'A'
 		}
-		b.WriteRune(c)
+		name.WriteRune(letter)
 	}
-	return b.String()
+	return name.String()
 }
 
-// empty values mean that a field is not there: servers write them all.
-func empty(v any) bool {
-	switch x := v.(type) {
+// isEmpty reports whether a value means that its field is not there: servers write
+// all fields.
+func isEmpty(value any) bool {
+	switch value := value.(type) {
 	case nil:
 		return true
 	case string:
-		return x == ""
+		return value == ""
 	case []any:
-		return len(x) == 0
+		return len(value) == 0
 	case map[string]any:
-		return len(x) == 0
+		return len(value) == 0
 	}
 	return false
 }
 
-func (r *jsonReader) bad(path, format string, a ...any) {
-	r.probs.add("%s: %s: %s", r.file, path, fmt.Sprintf(format, a...))
+// report notes a problem with the path of its field.
+func (r *jsonReader) report(path, format string, args ...any) {
+	r.problems.add("%s: %s: %s", r.file, path, fmt.Sprintf(format, args...))
 }
 
-func (r *jsonReader) block(typ string, m map[string]any, path string) *Node {
-	n := &Node{Type: typ, Attrs: map[string]Value{}, At: r.file + ": " + path}
-	label := typ == "job" || typ == "group" || typ == "task" || typ == "device"
-	verbatim := typ == "meta" || typ == "env" || typ == "config"
-	for _, k := range sortedKeys(m) {
-		if r.nodes++; r.nodes > maxNodes {
-			r.probs.add("%s: more than %d blocks and fields", r.file, maxNodes)
-			return n
+// labelledBlocks have their label in the field Name. The job is not one of them: its
+// label is its id.
+var labelledBlocks = map[string]bool{"group": true, "task": true, "device": true}
+
+// block evaluates the fields of a block.
+func (r *jsonReader) block(blockType string, fields map[string]any, path string) *Block {
+	block := &Block{
+		Type:       blockType,
+		Attributes: map[string]Attribute{},
+		Position:   r.file + ": " + path,
+	}
+	isFreeForm := blockType == "meta" || blockType == "env" || blockType == "config"
+	for _, key := range sortedKeys(fields) {
+		r.nodeCount++
+		if r.nodeCount > maxNodes {
+			r.problems.add("%s: more than %d blocks and fields", r.file, maxNodes)
+			return block
 		}
-		v, at := m[k], path+"."+k
-		switch name, isBlock := blocksOf[k]; {
-		case verbatim:
-			r.attr(n, k, v, at)
-		case empty(v):
-		case typ == "job" && dropped[k]:
-		case label && k == "Name" && typ != "job":
-			if s, ok := v.(string); ok {
-				n.Labels = []string{s}
+		value, fieldPath := fields[key], path+"."+key
+		switch blockName, isBlock := jsonBlocks[key]; {
+		case isFreeForm:
+			r.addAttribute(block, key, value, fieldPath)
+		case isEmpty(value):
+		case blockType == "job" && serverFields[key]:
+		case labelledBlocks[blockType] && key == "Name":
+			if label, ok := value.(string); ok {
+				block.Labels = []string{label}
 			} else {
-				r.bad(at, "must be text")
+				r.report(fieldPath, "must be text")
 			}
 		case isBlock:
-			r.blocks(n, name, v, at)
+			r.addBlocks(block, blockName, value, fieldPath)
 		default:
-			r.attr(n, snake(k), v, at)
+			r.addAttribute(block, hclName(key), value, fieldPath)
 		}
 	}
-	return n
+	return block
 }
 
-func (r *jsonReader) blocks(n *Node, name string, v any, at string) {
-	switch x := v.(type) {
+// addBlocks evaluates a field that is one block or a list of them.
+func (r *jsonReader) addBlocks(parent *Block, blockType string, value any, path string) {
+	switch value := value.(type) {
 	case map[string]any:
-		n.Blocks = append(n.Blocks, r.block(name, x, at))
+		parent.Blocks = append(parent.Blocks, r.block(blockType, value, path))
 	case []any:
-		for i, e := range x {
-			if m, ok := e.(map[string]any); ok {
-				n.Blocks = append(n.Blocks, r.block(name, m, fmt.Sprintf("%s[%d]", at, i)))
+		for i, element := range value {
+			if fields, ok := element.(map[string]any); ok {
+				parent.Blocks = append(parent.Blocks, r.block(blockType, fields, fmt.Sprintf("%s[%d]", path, i)))
 			} else {
-				r.bad(at, "must be a list of objects")
+				r.report(path, "must be a list of objects")
 			}
 		}
 	default:
-		r.bad(at, "must be an object, or a list of them")
+		r.report(path, "must be an object, or a list of them")
 	}
 }
 
-func (r *jsonReader) attr(n *Node, name string, v any, at string) {
-	if x, ok := r.value(v, at); ok {
-		n.Attrs[name] = Value{x, r.file + ": " + at}
+// addAttribute evaluates a field that is an attribute.
+func (r *jsonReader) addAttribute(block *Block, name string, value any, path string) {
+	if converted, ok := r.value(value, path); ok {
+		block.Attributes[name] = Attribute{converted, r.file + ": " + path}
 	}
 }
 
-func (r *jsonReader) value(v any, at string) (cty.Value, bool) {
-	switch x := v.(type) {
+// value converts a JSON value; the result is false for null and for what was
+// reported.
+func (r *jsonReader) value(value any, path string) (cty.Value, bool) {
+	switch value := value.(type) {
 	case string:
-		return cty.StringVal(x), true
+		return cty.StringVal(value), true
 	case bool:
-		return cty.BoolVal(x), true
+		return cty.BoolVal(value), true
 	case json.Number:
-		n, err := cty.ParseNumberVal(x.String())
+		number, err := cty.ParseNumberVal(value.String())
 		if err != nil {
-			r.bad(at, "%s is no number", x)
+			r.report(path, "%s is no number", value)
 		}
-		return n, err == nil
+		return number, err == nil
 	case []any:
-		var list []cty.Value
-		for _, e := range x {
-			if y, ok := r.value(e, at); ok {
-				list = append(list, y)
-			}
-		}
-		if len(list) == 0 {
-			return cty.EmptyTupleVal, true
-		}
-		return cty.TupleVal(list), true
+		return r.tupleValue(value, path), true
 	case map[string]any:
-		m := map[string]cty.Value{}
-		for _, k := range sortedKeys(x) {
-			if y, ok := r.value(x[k], at); ok {
-				m[k] = y
+		members := map[string]cty.Value{}
+		for _, key := range sortedKeys(value) {
+			if member, ok := r.value(value[key], path); ok {
+				members[key] = member
 			}
 		}
-		return object(m), true
+		return objectValue(members), true
 	}
 	return cty.NilVal, false
 }
 
-// ReadAny reads either form: a file that starts with a brace is JSON.
-func ReadAny(file string, src []byte, in Inputs) (*Node, error) {
-	if t := bytes.TrimSpace(src); len(t) > 0 && t[0] == '{' {
-		return ReadJSON(file, src)
+// tupleValue converts the elements of a JSON array.
+func (r *jsonReader) tupleValue(elements []any, path string) cty.Value {
+	var values []cty.Value
+	for _, element := range elements {
+		if value, ok := r.value(element, path); ok {
+			values = append(values, value)
+		}
+	}
+	if len(values) == 0 {
+		return cty.EmptyTupleVal
 	}
-	return Read(file, src, in)
+	return cty.TupleVal(values)
 }
--- a/internal/nomad/nomad_test.go
+++ b/internal/nomad/nomad_test.go
@@ -35,8 +35,8 @@
 	return r
 }
 
-// The same job in both forms is the same native job.
-func TestBothForms(t *testing.T) {
+// TestHCLAndJSONAgree checks that the same job in both forms is the same native job.
+func TestHCLAndJSONAgree(t *testing.T) {
 	form := func(file string, in Inputs) string {
 		src, err := os.ReadFile("testdata/taken/" + file)
 		if err != nil {
@@ -46,11 +46,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := Jobs(n, testRules())
+		p, err := PlanJobs(n, testRules())
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, _ := json.Marshal(p.Jobs[0].Words())
+		b, _ := json.Marshal(p.Jobs[0].ProtocolFields())
 		return string(b)
 	}
 	if a, b := form("scan.nomad", Inputs{Vars: []string{"zone=thies-hall"}}), form("scan.json", Inputs{}); a != b {
@@ -58,8 +58,9 @@
 	}
 }
 
-// The native jobs that files become, with all that was assumed.
-func TestTaken(t *testing.T) {
+// TestAcceptedFiles compares the native jobs that files become, with all that was
+// assumed, to the golden file.
+func TestAcceptedFiles(t *testing.T) {
 	files, _ := filepath.Glob("testdata/taken/*")
 	var b strings.Builder
 	for _, f := range files {
@@ -73,7 +74,7 @@
 			t.Errorf("%s: %v", f, err)
 			continue
 		}
-		p, err := Jobs(n, testRules())
+		p, err := PlanJobs(n, testRules())
 		if err != nil {
 			t.Errorf("%s: %v", f, err)
 			continue
@@ -85,16 +86,16 @@
 			w, _ := json.MarshalIndent(struct {
 				Job     map[string]any `json:"job"`
 				Assumed []string       `json:"assumed"`
-			}{j.Words(), j.Assumed}, "", "  ")
+			}{j.ProtocolFields(), j.Assumed}, "", "  ")
 			fmt.Fprintf(&b, "%s, group %s: %s\n", filepath.Base(f), j.Group, w)
 		}
 	}
 	golden(t, "testdata/taken.golden", b.String())
 }
 
-// What is refused, all of it at once, each with its place and reason, within
-// bounded time.
-func TestRefused(t *testing.T) {
+// TestRefusedFiles compares the problems of files, all of them at once, each with its
+// position and reason, to the golden file; they are found within bounded time.
+func TestRefusedFiles(t *testing.T) {
 	files, _ := filepath.Glob("testdata/refused/*")
 	var b strings.Builder
 	for _, f := range files {
@@ -102,7 +103,7 @@
 		began := time.Now()
 		n, err := ReadAny(filepath.Base(f), src, Inputs{})
 		if err == nil {
-			_, err = Jobs(n, testRules())
+			_, err = PlanJobs(n, testRules())
 		}
 		if err == nil {
 			t.Errorf("%s was taken", f)
@@ -115,7 +116,7 @@
 	golden(t, "testdata/refused.golden", b.String())
 }
 
-// Values of variables: a flag goes before a file, a file before the environment.
+// TestVariables checks the order of sources of variables: a flag goes before a file, a file before the environment.
 func TestVariables(t *testing.T) {
 	src := "variable \"a\" {\n  default = \"d\"\n}\nvariable \"l\" {\n  type = list(string)\n  default = []\n}\njob \"j\" {\n  name = \"${var.a}-${length(var.l)}\"\n}\n"
 	file := filepath.Join(t.TempDir(), "v.hcl")
@@ -133,20 +134,22 @@
 		{Inputs{Vars: []string{"b=v"}}, `there is no variable "b"`},
 		{Inputs{Vars: []string{"l=["}}, "is no value"},
 	} {
-		got := ""
-		if n, err := Read("t", []byte(src), c.in); err != nil {
-			got = err.Error()
-		} else {
-			got = n.Attrs["name"].V.AsString()
-		}
-		if !strings.Contains(got, c.want) {
-			t.Errorf("%+v: %q, want %q", c.in, got, c.want)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			got := ""
+			if n, err := Read("t", []byte(src), c.in); err != nil {
+				got = err.Error()
+			} else {
+				got = n.Attributes["name"].Value.AsString()
+			}
+			if !strings.Contains(got, c.want) {
+				t.Errorf("%+v: %q, want %q", c.in, got, c.want)
+			}
+		})
 	}
 }
 
-// Large, deep and long files end in time with one clear line.
-func TestBounds(t *testing.T) {
+// TestSourceBounds checks that large, deep and long files end in time with one clear line.
+func TestSourceBounds(t *testing.T) {
 	deep := "job \"j\" {\n  x = " + strings.Repeat("[", 5000) + strings.Repeat("]", 5000) + "\n}\n"
 	long := "job \"j\" {\n  type = \"batch\"\n  group \"g\" {\n    task \"t\" {\n      driver = \"exec\"\n      env {\n"
 	for i := range 10000 {
@@ -161,21 +164,41 @@
 		{"huge count", "job \"j\" {\n  type = \"batch\"\n  group \"g\" {\n    count = 1e300\n    task \"t\" {\n      driver = \"exec\"\n    }\n  }\n}\n", "count"},
 		{"many copies", "job \"j\" {\n  dynamic \"group\" {\n    for_each = range(1000000)\n    content {\n    }\n  }\n}\n", "larger than"},
 	} {
-		began := time.Now()
-		n, err := Read("t", []byte(c.src), Inputs{})
-		if err == nil {
-			_, err = Jobs(n, testRules())
-		}
-		if got := fmt.Sprint(err); c.want == "" && err != nil || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %.200s, want %q", c.name, got, c.want)
-		}
-		if d := time.Since(began); d > 5*time.Second {
-			t.Errorf("%s took %v", c.name, d)
+		t.Run(c.name, func(t *testing.T) {
+			began := time.Now()
+			n, err := Read("t", []byte(c.src), Inputs{})
+			if err == nil {
+				_, err = PlanJobs(n, testRules())
+			}
+			if got := fmt.Sprint(err); c.want == "" && err != nil || !strings.Contains(got, c.want) {
+				t.Errorf("%.200s, want %q", got, c.want)
+			}
+			if d := time.Since(began); d > 5*time.Second {
+				t.Errorf("took %v", d)
+			}
+		})
+	}
+}
+
+// checkConvertible reads a file of any content; what is converted must be valid.
+func checkConvertible(t *testing.T, source []byte) {
+	t.Helper()
+	job, err := ReadAny("f", source, Inputs{})
+	if err != nil {
+		return
+	}
+	plan, err := PlanJobs(job, testRules())
+	if err != nil {
+		return
+	}
+	for _, native := range plan.Jobs {
+		if _, err := native.Job.Validate(); err != nil {
+			t.Errorf("taken, but the scheduler would refuse it: %v", err)
 		}
 	}
 }
 
-// FuzzRead: no input ends the reader, or holds it for long.
+// FuzzRead checks that no input makes the reader panic or holds it for long.
 func FuzzRead(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*/*")
 	for _, name := range files {
@@ -188,31 +211,22 @@
 			return
 		}
 		began := time.Now()
-		if n, err := ReadAny("f", src, Inputs{}); err == nil {
-			if p, err := Jobs(n, testRules()); err == nil {
-				for _, j := range p.Jobs {
-					if _, err := j.Job.Validate(); err != nil {
-						t.Errorf("taken, but the scheduler would refuse it: %v", err)
-					}
-				}
-			}
-		}
+		checkConvertible(t, src)
 		if d := time.Since(began); d > 10*time.Second {
 			t.Errorf("took %v", d)
 		}
 	})
 }
 
-// The table in the document is made from Fields.
-func TestTable(t *testing.T) {
+// TestFieldTableInDocs checks that the table in docs/nomad.md is made from Fields.
+func TestFieldTableInDocs(t *testing.T) {
 	var b strings.Builder
-	words := map[Standing]string{Honoured: "honoured", Refused: "refused", Harmless: "harmless"}
 	for _, f := range Fields {
 		kind, path := "", f.Path
 		if strings.HasSuffix(path, "/") {
 			kind, path = "block ", strings.TrimSuffix(path, "/")
 		}
-		fmt.Fprintf(&b, "| %s`%s` | %s | %s |\n", kind, path, words[f.Standing], f.Note)
+		fmt.Fprintf(&b, "| %s`%s` | %s | %s |\n", kind, path, f.Standing, f.Note)
 	}
 	const from, to = "<!-- table -->\n", "<!-- end of table -->"
 	name := "../../docs/nomad.md"
@@ -236,8 +250,8 @@
 	}
 }
 
-// The example of deploy/, and mistakes in it.
-func TestRules(t *testing.T) {
+// TestReadRules reads the example of deploy/, and mistakes in it.
+func TestReadRules(t *testing.T) {
 	b, err := os.ReadFile("../../deploy/nomad.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -251,12 +265,14 @@
 		{"class = renewal-batch", "class = print", "there is no [class print]"},
 		{"spot = yes", "spot = 1", "must be yes or no"},
 	} {
-		r, err := ReadRules([]byte(strings.Replace(string(b), c.old, c.now, 1)))
-		if got := fmt.Sprint(err); c.want == "" && err != nil || c.want != "" && !strings.Contains(got, c.want) {
-			t.Errorf("%q for %q: %v, want %q", c.now, c.old, err, c.want)
-		}
-		if c.want == "" && (r.MHz != 2500 || r.Class != "renewal-batch" || r.Classes["agency-sync"] != (Class{120, 30, 2.5, false})) {
-			t.Errorf("read as %+v", r)
-		}
+		t.Run(c.now, func(t *testing.T) {
+			r, err := ReadRules([]byte(strings.Replace(string(b), c.old, c.now, 1)))
+			if got := fmt.Sprint(err); c.want == "" && err != nil || c.want != "" && !strings.Contains(got, c.want) {
+				t.Errorf("%q for %q: %v, want %q", c.now, c.old, err, c.want)
+			}
+			if c.want == "" && (r.MHz != 2500 || r.Class != "renewal-batch" || r.Classes["agency-sync"] != (Class{120, 30, 2.5, false})) {
+				t.Errorf("read as %+v", r)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/nomad/plan.go
@@ -0,0 +1,178 @@
+package nomad
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"strings"
+
+	"curlewspool/internal/protocol"
+)
+
+// NativeJob is the native job that a group becomes.
+type NativeJob struct {
+	Group   string               `json:"group"`
+	Job     *protocol.Submission `json:"-"`
+	Assumed []string             `json:"assumed"` // what the file leaves out and the rules filled in
+}
+
+// ProtocolFields returns the job with the field names of the outer protocol.
+func (n *NativeJob) ProtocolFields() map[string]any {
+	var fields map[string]any
+	if err := protocol.Decode(protocol.Encode(n.Job), &fields); err != nil {
+		return nil // cannot happen: the encoding is our own
+	}
+	return fields
+}
+
+// Plan is what a file becomes.
+type Plan struct {
+	Namespace string      `json:"namespace"`
+	Name      string      `json:"name"`
+	Jobs      []NativeJob `json:"jobs"`
+}
+
+// Ranks of the outer protocol, from the lowest to the highest.
+const (
+	rankBestEffort = "best_effort"
+	rankStandard   = "standard"
+	rankHigh       = "high"
+	rankProd       = "prod"
+)
+
+// Bounds of names and of the published priority.
+const (
+	maxNameLen      = 40
+	nameCharacters  = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_"
+	defaultPriority = 50
+	minPriority     = 1
+	maxPriority     = 100
+)
+
+// jobIDPrefix starts the id of each native job made from a file.
+const jobIDPrefix = "wk-nomad."
+
+// converter converts a job block and collects all that is wrong with it.
+type converter struct {
+	rules    Rules
+	problems Problems
+}
+
+// report notes a problem with its position.
+func (c *converter) report(position, format string, args ...any) {
+	c.problems.add("%s: %s", position, fmt.Sprintf(format, args...))
+}
+
+// jobDefaults are the settings of a job block that hold for all its groups.
+type jobDefaults struct {
+	shape protocol.JobShape
+	rank  string
+	zone  string // "": any
+}
+
+// PlanJobs converts a job block into native jobs, one a group. The error is of type
+// Problems.
+func PlanJobs(job *Block, rules Rules) (*Plan, error) {
+	c := &converter{rules: rules}
+	c.checkFields(job, "")
+	plan := &Plan{Namespace: c.text(job, "namespace", "default"), Name: job.Labels[0]}
+	if id := c.text(job, "id", ""); id != "" {
+		plan.Name = id
+	}
+	if !isValidName(plan.Namespace) || !isValidName(plan.Name) {
+		c.report(job.Position, "the names %q and %q must be of letters, digits, - and _, 40 at most", plan.Namespace, plan.Name)
+	}
+	if region := c.text(job, "region", "global"); region != "global" {
+		c.report(job.Attributes["region"].Position, "region %q: there is one region; partner clusters are the operators'", region)
+	}
+	defaults := jobDefaults{shape: c.shape(job), rank: c.rank(job), zone: c.datacenter(job)}
+	c.planGroups(plan, job, defaults)
+	if len(c.problems) > 0 {
+		return nil, c.problems
+	}
+	return plan, nil
+}
+
+// planGroups converts the groups of a job into the plan's jobs.
+func (c *converter) planGroups(plan *Plan, job *Block, defaults jobDefaults) {
+	seen := map[string]bool{}
+	for _, group := range job.blocksOfType("group") {
+		if len(group.Labels) != 1 || !isValidName(group.Labels[0]) || seen[group.Labels[0]] {
+			c.report(group.Position, "a group needs one label of its own, of letters, digits, - and _")
+			continue
+		}
+		name := group.Labels[0]
+		seen[name] = true
+		native := c.convertGroup(job, group, defaults)
+		if native == nil {
+			continue
+		}
+		id := jobIDPrefix + plan.Namespace + "." + plan.Name + "." + name
+		native.Job.ID = &id
+		// Valid parts may make an invalid whole, such as names that are too long together.
+		var invalid *protocol.FieldError
+		if _, err := native.Job.Validate(); errors.As(err, &invalid) {
+			c.report(group.Position, "the scheduler would refuse it: %s", invalid.Field)
+		}
+		plan.Jobs = append(plan.Jobs, *native)
+	}
+	if len(seen) == 0 {
+		c.report(job.Position, "a job needs a group")
+	}
+}
+
+// isValidName reports whether a name may be part of a native job's id.
+func isValidName(name string) bool {
+	return name != "" && len(name) <= maxNameLen && strings.Trim(name, nameCharacters) == ""
+}
+
+// shape converts the job's type.
+func (c *converter) shape(job *Block) protocol.JobShape {
+	switch jobType := c.text(job, "type", "service"); jobType {
+	case "batch":
+		return protocol.ShapeArray
+	case "service":
+		return protocol.ShapeService
+	default:
+		c.report(job.positionOf("type"), "type %q: one copy on every machine cannot be promised here", jobType)
+		return ""
+	}
+}
+
+// rank converts the job's priority of 1 to 100.
+func (c *converter) rank(job *Block) string {
+	attribute, ok := job.Attributes["priority"]
+	if !ok {
+		return rankStandard
+	}
+	switch priority := c.number(job, "priority", defaultPriority); {
+	case priority < minPriority || priority > maxPriority || priority != math.Floor(priority):
+		c.report(attribute.Position, "priority %v: must be a whole number from 1 to 100", priority)
+		return rankStandard
+	case priority <= 33:
+		return rankBestEffort
+	case priority >= 90:
+		return rankProd
+	case priority >= 67:
+		return rankHigh
+	default:
+		return rankStandard
+	}
+}
+
+// datacenter returns the one zone that datacenters names, or "" for any.
+func (c *converter) datacenter(job *Block) string {
+	attribute, ok := job.Attributes["datacenters"]
+	if !ok {
+		return ""
+	}
+	names := stringElements(attribute.Value)
+	switch {
+	case len(names) == 1 && names[0] == "*":
+		return ""
+	case len(names) == 1 && !strings.ContainsAny(names[0], "*?["):
+		return names[0]
+	}
+	c.report(attribute.Position, "datacenters: one zone, or [\"*\"] for all; some of them cannot be said to the scheduler")
+	return ""
+}
--- a/internal/nomad/rules.go
+++ b/internal/nomad/rules.go
@@ -8,68 +8,144 @@
 	"gopkg.in/ini.v1"
 )
 
-// ReadRules reads the operators' rules: [nomad] and a [class NAME] for each class
-// that files may name. Unknown sections and keys, and values that are no
-// amounts, are refused.
+// Rules are the operators' defaults: what files leave out is taken from them and
+// noted in the plan.
+type Rules struct {
+	MHz     float64 // of a core
+	Team    string  // of jobs that name none
+	Class   string  // of jobs that name none
+	Classes map[string]Class
+}
+
+// Class says what is assumed of a class's jobs that do not say it themselves.
+type Class struct {
+	Estimate   float64 // run time of a task, seconds
+	Checkpoint float64 // seconds of progress between checkpoints
+	ImageGb    float64
+	Spot       bool // may use spot machines
+}
+
+// defaultImageGb is the size of an image of which nothing is known.
+const defaultImageGb = 0.5
+
+// DefaultRules are those of a tool without a rules file.
+func DefaultRules() Rules {
+	return Rules{
+		MHz:     2500,
+		Team:    "red",
+		Class:   "nomad",
+		Classes: map[string]Class{"nomad": {Estimate: 60, ImageGb: defaultImageGb}},
+	}
+}
+
+const (
+	rulesSection       = "nomad"
+	classSectionPrefix = "class "
+	maxRuleAmount      = 1e9
+)
+
+// ruleSetter stores the value of a key, or returns why it is not valid.
+type ruleSetter func(key *ini.Key) error
+
+// ReadRules reads the operators' rules: [nomad], and a [class NAME] for each class
+// that files may name. Unknown sections and keys, and values that are no amounts,
+// are refused.
 func ReadRules(text []byte) (Rules, error) {
-	r := DefaultRules()
-	r.Classes = map[string]Class{}
+	rules := DefaultRules()
+	rules.Classes = map[string]Class{}
 	file, err := ini.Load(text)
 	if err != nil {
-		return r, err
+		return rules, err
 	}
-	for _, sec := range file.Sections() {
-		name, class := strings.CutPrefix(sec.Name(), "class ")
-		switch {
-		case sec.Name() == ini.DefaultSection && len(sec.Keys()) == 0:
+	for _, section := range file.Sections() {
+		if section.Name() == ini.DefaultSection && len(section.Keys()) == 0 {
 			continue
-		case sec.Name() != "nomad" && (!class || strings.TrimSpace(name) == ""):
-			return r, fmt.Errorf("unknown section [%s]", sec.Name())
 		}
-		c := Class{ImageGb: 0.5}
-		for _, k := range sec.Keys() {
-			amount := func(to *float64, least float64) error {
-				v, err := strconv.ParseFloat(k.String(), 64)
-				if err != nil || !(v >= least && v <= 1e9) {
-					return fmt.Errorf("[%s] %s: %q must be a number from %v on", sec.Name(), k.Name(), k.String(), least)
-				}
-				*to = v
-				return nil
-			}
-			err, known := error(nil), true
-			switch {
-			case !class && k.Name() == "mhz":
-				err = amount(&r.MHz, 1)
-			case !class && k.Name() == "team":
-				r.Team = k.String()
-			case !class && k.Name() == "class":
-				r.Class = k.String()
-			case class && k.Name() == "estimate_s":
-				err = amount(&c.Estimate, 0)
-			case class && k.Name() == "checkpoint_s":
-				err = amount(&c.Checkpoint, 0)
-			case class && k.Name() == "image_gb":
-				err = amount(&c.ImageGb, 0)
-			case class && k.Name() == "spot":
-				if c.Spot = k.String() == "yes"; !c.Spot && k.String() != "no" {
-					err = fmt.Errorf("[%s] spot: %q must be yes or no", sec.Name(), k.String())
-				}
-			default:
-				known = false
-			}
-			if !known {
-				return r, fmt.Errorf("unknown setting %s in [%s]", k.Name(), sec.Name())
-			}
-			if err != nil {
-				return r, err
-			}
+		if err := rules.readSection(section); err != nil {
+			return rules, err
 		}
-		if class {
-			r.Classes[strings.TrimSpace(name)] = c
+	}
+	if _, ok := rules.Classes[rules.Class]; !ok {
+		return rules, fmt.Errorf("[nomad] class: there is no [class %s]", rules.Class)
+	}
+	return rules, nil
+}
+
+// readSection reads [nomad] or a [class NAME].
+func (r *Rules) readSection(section *ini.Section) error {
+	if section.Name() == rulesSection {
+		return readKeys(section, r.setters(section.Name()))
+	}
+	name, isClass := strings.CutPrefix(section.Name(), classSectionPrefix)
+	name = strings.TrimSpace(name)
+	if !isClass || name == "" {
+		return fmt.Errorf("unknown section [%s]", section.Name())
+	}
+	class := Class{ImageGb: defaultImageGb}
+	if err := readKeys(section, class.setters(section.Name())); err != nil {
+		return err
+	}
+	r.Classes[name] = class
+	return nil
+}
+
+// readKeys sets each key of a section.
+func readKeys(section *ini.Section, setters map[string]ruleSetter) error {
+	for _, key := range section.Keys() {
+		set := setters[key.Name()]
+		if set == nil {
+			return fmt.Errorf("unknown setting %s in [%s]", key.Name(), section.Name())
+		}
+		if err := set(key); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// setters are the keys of [nomad].
+func (r *Rules) setters(section string) map[string]ruleSetter {
+	return map[string]ruleSetter{
+		"mhz":   amountSetter(section, &r.MHz, 1),
+		"team":  textSetter(&r.Team),
+		"class": textSetter(&r.Class),
+	}
+}
+
+// setters are the keys of a [class NAME].
+func (c *Class) setters(section string) map[string]ruleSetter {
+	return map[string]ruleSetter{
+		"estimate_s":   amountSetter(section, &c.Estimate, 0),
+		"checkpoint_s": amountSetter(section, &c.Checkpoint, 0),
+		"image_gb":     amountSetter(section, &c.ImageGb, 0),
+		"spot":         flagSetter(section, &c.Spot),
+	}
+}
+
+func textSetter(target *string) ruleSetter {
+	return func(key *ini.Key) error {
+		*target = key.String()
+		return nil
+	}
+}
+
+func amountSetter(section string, target *float64, least float64) ruleSetter {
+	return func(key *ini.Key) error {
+		amount, err := strconv.ParseFloat(key.String(), 64)
+		if err != nil || !(amount >= least && amount <= maxRuleAmount) { // refuses NaN, too
+			return fmt.Errorf("[%s] %s: %q must be a number from %v on", section, key.Name(), key.String(), least)
 		}
+		*target = amount
+		return nil
 	}
-	if _, ok := r.Classes[r.Class]; !ok {
-		return r, fmt.Errorf("[nomad] class: there is no [class %s]", r.Class)
+}
+
+func flagSetter(section string, target *bool) ruleSetter {
+	return func(key *ini.Key) error {
+		*target = key.String() == "yes"
+		if !*target && key.String() != "no" {
+			return fmt.Errorf("[%s] %s: %q must be yes or no", section, key.Name(), key.String())
+		}
+		return nil
 	}
-	return r, nil
 }
