--- /dev/null
+++ b/cmd/curlewctl/abort.go
@@ -0,0 +1,16 @@
+package main
+
+import (
+	"github.com/spf13/cobra"
+
+	"curlewspool/internal/client"
+	"curlewspool/internal/protocol"
+)
+
+func abortCommand() *cobra.Command {
+	return perJobCommand("abort", "Cancel jobs", requestAbort)
+}
+
+func requestAbort(command *cobra.Command, cluster *client.Client, jobID string) (*protocol.JobState, error) {
+	return cluster.Abort(command.Context(), jobID)
+}
--- /dev/null
+++ b/cmd/curlewctl/cluster.go
@@ -0,0 +1,118 @@
+package main
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"curlewspool/internal/client"
+	"curlewspool/internal/protocol"
+)
+
+// addressVariable is the environment variable with the default of --to.
+const addressVariable = "CURLEW_TO"
+
+// retryNoticeInterval is how often a command that waits for an answer says so again
+// while the reason stays the same.
+const retryNoticeInterval = 5 * time.Second
+
+// clusterFlags are the flags of the commands that talk to a cluster as its users do.
+type clusterFlags struct {
+	addresses string
+	asJSON    bool
+	patience  time.Duration
+}
+
+// register adds the flags to a command.
+func (f *clusterFlags) register(command *cobra.Command) {
+	flags := command.Flags()
+	flags.StringVar(&f.addresses, "to", os.Getenv(addressVariable),
+		"address of the cluster as HOST:PORT; several controllers with commas (default $"+addressVariable+")")
+	flags.BoolVar(&f.asJSON, "json", false, "print JSON")
+	flags.DurationVar(&f.patience, "patience", time.Minute, "how long to retry a request that is not answered")
+}
+
+// newClient makes a client that reports on stderr why it retries: at once for a new
+// reason, else every few seconds.
+func (f *clusterFlags) newClient(stderr io.Writer) (*client.Client, error) {
+	c, err := client.New(f.addresses)
+	if err != nil {
+		return nil, err
+	}
+	c.Patience = f.patience
+	lastReason, lastNotice := "", time.Time{}
+	c.OnRetry = func(reason string, left time.Duration) {
+		if reason == lastReason && time.Since(lastNotice) <= retryNoticeInterval {
+			return
+		}
+		lastReason, lastNotice = reason, time.Now()
+		_, _ = fmt.Fprintf(stderr, "%s; asking again for up to %v\n", reason, left.Round(time.Second))
+	}
+	return c, nil
+}
+
+// jobStateJSON is the state of a job as --json prints it.
+type jobStateJSON struct {
+	ID      string             `json:"id"`
+	Status  protocol.JobStatus `json:"status"`
+	Done    *int               `json:"done,omitempty"`
+	Running *int               `json:"running,omitempty"`
+	// Elsewhere lists the tasks that are at partner clusters, and why.
+	Elsewhere []protocol.RemoteTasks `json:"elsewhere,omitempty"`
+	// Awaits lists the dependencies that are not done yet.
+	Awaits []string `json:"awaits,omitempty"`
+	// Cause is the job whose cancellation cancelled this one, too.
+	Cause string `json:"cause,omitempty"`
+}
+
+// printState prints the state of a job.
+func (f *clusterFlags) printState(out io.Writer, state *protocol.JobState) error {
+	printed := &jobStateJSON{
+		ID:        state.ID,
+		Status:    state.Status,
+		Done:      state.Done,
+		Running:   state.Running,
+		Elsewhere: state.Remote,
+		Awaits:    state.PendingDependencies,
+		Cause:     state.CancelledBy,
+	}
+	return show(out, f.asJSON, printed, func(text *bytes.Buffer) {
+		fmt.Fprintln(text, client.FormatState(state))
+	})
+}
+
+// jobRequest asks a cluster about one job.
+type jobRequest func(command *cobra.Command, cluster *client.Client, jobID string) (*protocol.JobState, error)
+
+// perJobCommand makes a command that sends a request for each job named and prints
+// the answers in order. It ends with the first error.
+func perJobCommand(name, short string, request jobRequest) *cobra.Command {
+	flags := &clusterFlags{}
+	command := &cobra.Command{
+		Use:   name + " JOB...",
+		Short: short,
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(command *cobra.Command, jobIDs []string) error {
+			cluster, err := flags.newClient(command.ErrOrStderr())
+			if err != nil {
+				return err
+			}
+			for _, jobID := range jobIDs {
+				state, err := request(command, cluster, jobID)
+				if err != nil {
+					return fmt.Errorf("%s: %w", jobID, err)
+				}
+				if err := flags.printState(command.OutOrStdout(), state); err != nil {
+					return err
+				}
+			}
+			return nil
+		},
+	}
+	flags.register(command)
+	return command
+}
--- a/cmd/curlewctl/keys.go
+++ b/cmd/curlewctl/keys.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"io"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -11,59 +12,110 @@
 	"curlewspool/internal/remotelease"
 )
 
+// Default validity of certificates.
+const (
+	defaultAuthorityValidity   = 5 * 365 * 24 * time.Hour
+	defaultCertificateValidity = 90 * 24 * time.Hour
+)
+
 func keysCommand() *cobra.Command {
-	root := &cobra.Command{Use: "keys", Short: "Make and read the certificates by which clusters know each other", Args: cobra.NoArgs, RunE: help}
-	var dir, ca, cluster, name string
-	var life time.Duration
-	makeCA := &cobra.Command{Use: "ca", Short: "Make an authority", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			if err := pki.MakeCA(dir, name, life); err != nil {
+	command := &cobra.Command{
+		Use:   "keys",
+		Short: "Make and show the TLS certificates with which partner clusters authenticate each other",
+		Args:  cobra.NoArgs,
+		RunE:  printHelp,
+	}
+	command.AddCommand(authorityCommand(), certificateCommand(), showCertificateCommand())
+	return command
+}
+
+func authorityCommand() *cobra.Command {
+	var folder, name string
+	var validity time.Duration
+	command := &cobra.Command{
+		Use:   "ca",
+		Short: "Make a certificate authority; one that is there is not replaced",
+		Args:  cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			if err := pki.MakeCA(folder, name, validity); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintf(c.OutOrStdout(), "%s/%s is for all partners, %s/%s for nobody else\n", dir, pki.CAFile, dir, pki.CAKeyFile)
+			_, err := fmt.Fprintf(command.OutOrStdout(), "%s/%s is for all partners, %s/%s for nobody else\n", folder, pki.CAFile, folder, pki.CAKeyFile)
 			return err
-		}}
-	makeCA.Flags().StringVar(&dir, "dir", "ca", "folder")
-	makeCA.Flags().StringVar(&name, "name", "curlewspool partners", "the authority's name")
-	makeCA.Flags().DurationVar(&life, "life", 5*365*24*time.Hour, "how long it is valid")
-	makeCert := &cobra.Command{Use: "cert --cluster NAME", Short: "Make, or renew, a cluster's certificate; controllers take it without a restart", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
+		},
+	}
+	flags := command.Flags()
+	flags.StringVar(&folder, "dir", "ca", "folder to write the authority to")
+	flags.StringVar(&name, "name", "curlewspool partners", "name of the authority")
+	flags.DurationVar(&validity, "life", defaultAuthorityValidity, "how long the authority is valid")
+	return command
+}
+
+func certificateCommand() *cobra.Command {
+	var folder, authorityFolder, cluster string
+	var validity time.Duration
+	command := &cobra.Command{
+		Use:   "cert --cluster NAME",
+		Short: "Make or renew the certificate of a cluster; controllers load a new one without a restart",
+		Args:  cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
 			if !remotelease.IsValidClusterName(cluster) {
 				return fmt.Errorf("--cluster %q: must be 1 to 20 of a-z, 0-9 and -", cluster)
 			}
-			if err := pki.MakeCert(dir, ca, cluster, life); err != nil {
+			if err := pki.MakeCert(folder, authorityFolder, cluster, validity); err != nil {
 				return err
 			}
-			_, err := fmt.Fprintf(c.OutOrStdout(), "%s/%s and %s/%s are for the controllers of %s\n", dir, pki.CertFile, dir, pki.KeyFile, cluster)
+			_, err := fmt.Fprintf(command.OutOrStdout(), "%s/%s and %s/%s are for the controllers of %s\n", folder, pki.CertFile, folder, pki.KeyFile, cluster)
 			return err
-		}}
-	makeCert.Flags().StringVar(&dir, "dir", "keys", "folder")
-	makeCert.Flags().StringVar(&ca, "ca", "ca", "folder of the authority")
-	makeCert.Flags().StringVar(&cluster, "cluster", "", "the cluster's name")
-	makeCert.Flags().DurationVar(&life, "life", 90*24*time.Hour, "how long it is valid")
+		},
+	}
+	flags := command.Flags()
+	flags.StringVar(&folder, "dir", "keys", "folder to write the certificate and its key to")
+	flags.StringVar(&authorityFolder, "ca", "ca", "folder of the certificate authority")
+	flags.StringVar(&cluster, "cluster", "", "name of the cluster")
+	flags.DurationVar(&validity, "life", defaultCertificateValidity, "how long the certificate is valid")
+	return command
+}
+
+// certificateJSON is a certificate as --json prints it.
+type certificateJSON struct {
+	Name        string    `json:"name"`
+	Until       time.Time `json:"until"`
+	Fingerprint string    `json:"fingerprint"`
+}
+
+func showCertificateCommand() *cobra.Command {
 	var asJSON bool
-	shows := &cobra.Command{Use: "show FILE", Short: "Tell what a certificate says, with its fingerprint for a pins file", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
-			list, err := pki.ReadCertificates(args[0])
-			if err != nil {
-				return err
-			}
-			type certJSON struct {
-				Name        string    `json:"name"`
-				Until       time.Time `json:"until"`
-				Fingerprint string    `json:"fingerprint"`
-			}
-			var out []certJSON
-			for _, x := range list {
-				out = append(out, certJSON{x.Subject.CommonName, x.NotAfter, pki.Fingerprint(x)})
-			}
-			return show(c.OutOrStdout(), asJSON, out, func(w *bytes.Buffer) {
-				for _, x := range out {
-					fmt.Fprintf(w, "%s until %s, in %.0f days\n%s\n", x.Name, x.Until.Format(time.RFC3339), time.Until(x.Until).Hours()/24, x.Fingerprint)
-				}
-			})
-		}}
-	shows.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	root.AddCommand(makeCA, makeCert, shows)
-	return root
+	command := &cobra.Command{
+		Use:   "show FILE",
+		Short: "Show name, expiry and fingerprint (for a pins file) of the certificates in a file",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(command *cobra.Command, args []string) error {
+			return showCertificates(command.OutOrStdout(), args[0], asJSON)
+		},
+	}
+	command.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	return command
+}
+
+// showCertificates prints the certificates in a PEM file.
+func showCertificates(out io.Writer, file string, asJSON bool) error {
+	certificates, err := pki.ReadCertificates(file)
+	if err != nil {
+		return err
+	}
+	var printed []certificateJSON
+	for _, certificate := range certificates {
+		printed = append(printed, certificateJSON{
+			Name:        certificate.Subject.CommonName,
+			Until:       certificate.NotAfter,
+			Fingerprint: pki.Fingerprint(certificate),
+		})
+	}
+	return show(out, asJSON, printed, func(text *bytes.Buffer) {
+		for _, certificate := range printed {
+			daysLeft := time.Until(certificate.Until).Hours() / 24
+			fmt.Fprintf(text, "%s until %s, in %.0f days\n%s\n", certificate.Name, certificate.Until.Format(time.RFC3339), daysLeft, certificate.Fingerprint)
+		}
+	})
 }
--- a/cmd/curlewctl/main.go
+++ b/cmd/curlewctl/main.go
@@ -1,55 +1,50 @@
-// Command curlewctl is for users and operators of curlewspool: whole clusters on
-// the loopback, jobs, and checks of what machines saw.
+// Command curlewctl is the tool of curlewspool's users and operators: it submits jobs
+// and shows their state, runs whole clusters on this machine, exports metrics and
+// traces of controllers, makes certificates, and checks what machines observed.
+//
+// Each subcommand has a file of its own; cluster.go and output.go hold what several
+// share. Errors go to stderr and end the program with status 1.
 package main
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
-	"io"
 	"os"
 
 	"github.com/spf13/cobra"
 
-	// The controller is linked so; one tool chain serves both.
+	// Links this program as the controller is linked, so that one tool chain
+	// serves both.
 	_ "curlewspool/internal/libc"
 )
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "curlewctl:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
+// rootCommand makes the command with all subcommands.
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "curlewctl",
-		Short:         "Submit jobs to curlewspool, and run whole clusters on this machine",
+		Short:         "Submit jobs to curlewspool clusters, operate them, and run them on this machine",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args:          cobra.NoArgs,
-		RunE:          help,
+		RunE:          printHelp,
 	}
 	root.CompletionOptions.DisableDefaultCmd = true
-	root.AddCommand(devCommand(), auditCommand(), keysCommand(), traceCommand(), metricsCommand(), nomadCommand())
-	root.AddCommand(jobCommands()...)
+	root.AddCommand(
+		submitCommand(), statusCommand(), waitCommand(), abortCommand(),
+		devCommand(), auditCommand(),
+		metricsCommand(), traceCommand(),
+		keysCommand(),
+		nomadCommand(),
+	)
 	return root
 }
 
-// help is what a command with others below it does by itself; without it a
-// misspelt one below would end with status 0.
-func help(c *cobra.Command, _ []string) error { return c.Help() }
-
-// show prints v as JSON, or as the text that describe writes for people.
-func show(out io.Writer, asJSON bool, v any, describe func(text *bytes.Buffer)) error {
-	if !asJSON {
-		var text bytes.Buffer
-		describe(&text)
-		_, err := text.WriteTo(out)
-		return err
-	}
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
-}
+// printHelp is the action of a command that only groups subcommands. With it cobra
+// reports a misspelt subcommand as an error; without it the status would be 0.
+func printHelp(command *cobra.Command, _ []string) error { return command.Help() }
--- a/cmd/curlewctl/main_test.go
+++ b/cmd/curlewctl/main_test.go
@@ -11,7 +11,7 @@
 
 // run gives what a command prints, and its error.
 func run(args ...string) (string, string) {
-	c := command()
+	c := rootCommand()
 	var out, errs bytes.Buffer
 	c.SetOut(&out)
 	c.SetErr(&errs)
@@ -62,7 +62,7 @@
 
 // Who waits for a cluster that does not answer is told so meanwhile.
 func TestWaitingIsTold(t *testing.T) {
-	c := command()
+	c := rootCommand()
 	var errs bytes.Buffer
 	c.SetErr(&errs)
 	c.SetOut(&errs)
--- /dev/null
+++ b/cmd/curlewctl/metrics.go
@@ -0,0 +1,233 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"reflect"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+	"github.com/prometheus/common/expfmt"
+	"github.com/spf13/cobra"
+
+	"curlewspool/internal/controller"
+	"curlewspool/internal/federation"
+)
+
+// Bounds of the HTTP server of --listen.
+const (
+	maxScrapesAtOnce  = 2
+	scrapeTimeout     = 10 * time.Second
+	readHeaderTimeout = 5 * time.Second
+)
+
+func metricsCommand() *cobra.Command {
+	var listen string
+	command := &cobra.Command{
+		Use:   "metrics HOST:PORT...",
+		Short: "Export metrics of controllers for Prometheus: print them once, or serve them with --listen",
+		Args:  cobra.MinimumNArgs(1),
+		RunE: func(command *cobra.Command, addresses []string) error {
+			registry := prometheus.NewRegistry()
+			if err := registry.Register(&collector{addresses}); err != nil {
+				return err
+			}
+			if listen == "" {
+				return printMetrics(command.OutOrStdout(), registry)
+			}
+			return serveMetrics(command, listen, registry)
+		},
+	}
+	command.Flags().StringVar(&listen, "listen", "", "serve /metrics at this HOST:PORT until Ctrl-C, instead of printing")
+	return command
+}
+
+// printMetrics gathers all metrics once and prints them in the text format.
+func printMetrics(out io.Writer, registry *prometheus.Registry) error {
+	families, err := registry.Gather()
+	if err != nil {
+		return err
+	}
+	for _, family := range families {
+		if _, err := expfmt.MetricFamilyToText(out, family); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// serveMetrics serves /metrics until an interrupt.
+func serveMetrics(command *cobra.Command, address string, registry *prometheus.Registry) error {
+	listener, err := net.Listen("tcp4", address)
+	if err != nil {
+		return err
+	}
+	command.PrintErrf("http://%s/metrics until Ctrl-C\n", listener.Addr())
+	options := promhttp.HandlerOpts{MaxRequestsInFlight: maxScrapesAtOnce, Timeout: scrapeTimeout}
+	mux := http.NewServeMux()
+	mux.Handle("/metrics", promhttp.HandlerFor(registry, options))
+	server := &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout}
+	ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt)
+	defer stop()
+	go func() {
+		<-ctx.Done()
+		_ = server.Shutdown(context.Background()) // Serve returns either way
+	}()
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		return err
+	}
+	return nil
+}
+
+// newDesc describes a metric whose first label is the controller's address.
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
+	return prometheus.NewDesc("curlewspool_"+name, help, append([]string{"controller"}, labels...), nil)
+}
+
+// readyDesc is collected also for controllers that do not answer.
+var readyDesc = newDesc("ready", "1 if the controller can act")
+
+// gauges are the metrics that are one number of a controller's state, with the values
+// of their further labels.
+var gauges = []struct {
+	desc   *prometheus.Desc
+	value  func(state *controller.State) float64
+	labels []string
+}{
+	{desc: liveJobsDesc, value: func(s *controller.State) float64 { return float64(s.Jobs) }},
+	{desc: machinesDesc, value: func(s *controller.State) float64 { return float64(s.Machines) }},
+	{desc: waitingJobsDesc, value: func(s *controller.State) float64 { return float64(len(s.WaitingJobs)) }},
+	{desc: unreachableDesc, value: unreachableMachines},
+	{desc: unresponsiveDesc, value: unresponsiveMachines},
+	{desc: isolatedDesc, value: isolated},
+	{desc: peakLoadDesc, value: func(s *controller.State) float64 { return s.PeakLoad.StoreRequests }, labels: []string{"state_requests"}},
+	{desc: peakLoadDesc, value: func(s *controller.State) float64 { return s.PeakLoad.StoreMutations }, labels: []string{"state_changes"}},
+	{desc: peakLoadDesc, value: func(s *controller.State) float64 { return s.PeakLoad.CloudCalls }, labels: []string{"cloud_calls"}},
+	{desc: dependentJobsDesc, value: func(s *controller.State) float64 { return float64(s.Dependencies.Waiting) }, labels: []string{"waiting"}},
+	{desc: dependentJobsDesc, value: func(s *controller.State) float64 { return float64(s.Dependencies.Released) }, labels: []string{"released"}},
+	{desc: dependentJobsDesc, value: func(s *controller.State) float64 { return float64(s.Dependencies.Cascaded) }, labels: []string{"cascaded"}},
+}
+
+// The names and labels of the metrics are fixed: operators' dashboards use them.
+var (
+	liveJobsDesc      = newDesc("live_jobs", "Jobs that have not ended")
+	machinesDesc      = newDesc("machines", "Machines known")
+	waitingJobsDesc   = newDesc("waiting_jobs", "Queued jobs of the shards that the controller owns")
+	unreachableDesc   = newDesc("deaf_machines", "Machines of its shards that report but cannot be reached (inbound partition)")
+	unresponsiveDesc  = newDesc("unanswered_machines", "Machines of its shards that have not answered this owner")
+	isolatedDesc      = newDesc("isolated", "1 if the controller reaches neither the state service nor another controller")
+	peakLoadDesc      = newDesc("busiest_per_second", "Requests of the controller in its busiest ten seconds since its start, as a mean per second", "of")
+	dependentJobsDesc = newDesc("dependent_jobs",
+		"Jobs with dependencies: waiting now; released, and cancelled with a job that they needed, by this process", "state")
+	submissionDesc = newDesc("submission_seconds", "Accepted submissions since the process started, by the stage in which the time was spent", "part")
+	spentDesc      = newDesc("spent", "Cost of the machines that the controller owned since its start, by cause, in the catalog's unit of money", "cause")
+
+	remoteChunksDesc     = newDesc("federation_away", "Chunks that are at partners", "partner")
+	borrowedDesc         = newDesc("federation_borrowed", "Remote leases that this cluster holds for partners")
+	federationEventsDesc = newDesc("federation_events_total", "Remote leases by outcome, as counted by this process", "what")
+)
+
+func unreachableMachines(state *controller.State) float64 {
+	count := 0
+	for _, shard := range state.Shards {
+		count += len(shard.Unreachable)
+	}
+	return float64(count)
+}
+
+func unresponsiveMachines(state *controller.State) float64 {
+	count := 0
+	for _, shard := range state.Shards {
+		count += shard.Unresponsive
+	}
+	return float64(count)
+}
+
+func isolated(state *controller.State) float64 {
+	if state.Isolated {
+		return 1
+	}
+	return 0
+}
+
+// collector implements prometheus.Collector: each collection asks every controller
+// for its state.
+type collector struct{ addresses []string }
+
+// Describe lists all metrics.
+func (c *collector) Describe(descs chan<- *prometheus.Desc) {
+	for _, desc := range []*prometheus.Desc{
+		readyDesc, liveJobsDesc, machinesDesc, waitingJobsDesc, unreachableDesc, unresponsiveDesc, isolatedDesc,
+		submissionDesc, spentDesc, peakLoadDesc, dependentJobsDesc, remoteChunksDesc, borrowedDesc, federationEventsDesc,
+	} {
+		descs <- desc
+	}
+}
+
+// Collect sends the metrics of all controllers; of one that does not answer only that
+// it is not ready.
+func (c *collector) Collect(metrics chan<- prometheus.Metric) {
+	for _, address := range c.addresses {
+		state, err := controller.FetchState(address)
+		if err != nil || !state.Ready {
+			sendGauge(metrics, readyDesc, 0, address)
+		} else {
+			sendGauge(metrics, readyDesc, 1, address)
+		}
+		if err != nil {
+			continue
+		}
+		collectState(metrics, address, state)
+		if state.Federation != nil {
+			collectFederation(metrics, address, state.Federation)
+		}
+	}
+}
+
+// sendGauge sends one gauge; the labels begin with the controller's address.
+func sendGauge(metrics chan<- prometheus.Metric, desc *prometheus.Desc, value float64, labels ...string) {
+	metrics <- prometheus.MustNewConstMetric(desc, prometheus.GaugeValue, value, labels...)
+}
+
+// sendCounter sends one counter; the labels begin with the controller's address.
+func sendCounter(metrics chan<- prometheus.Metric, desc *prometheus.Desc, value float64, labels ...string) {
+	metrics <- prometheus.MustNewConstMetric(desc, prometheus.CounterValue, value, labels...)
+}
+
+// collectState sends what every controller has.
+func collectState(metrics chan<- prometheus.Metric, address string, state *controller.State) {
+	for _, gauge := range gauges {
+		sendGauge(metrics, gauge.desc, gauge.value(state), append([]string{address}, gauge.labels...)...)
+	}
+	for stage, latencies := range state.SubmitTimes.ByStage() {
+		cumulative, count := latencies.Buckets()
+		metrics <- prometheus.MustNewConstHistogram(submissionDesc, count, latencies.Sum, cumulative, address, stage)
+	}
+	for cause, cost := range state.Spent {
+		sendCounter(metrics, spentDesc, cost, address, string(cause))
+	}
+}
+
+// collectFederation sends what controllers of clusters with partners have.
+func collectFederation(metrics chan<- prometheus.Metric, address string, view *federation.View) {
+	chunksByPartner := map[string]int{}
+	for _, lent := range view.Lent {
+		chunksByPartner[lent.To]++
+	}
+	for partner, chunks := range chunksByPartner {
+		sendGauge(metrics, remoteChunksDesc, float64(chunks), address, partner)
+	}
+	sendGauge(metrics, borrowedDesc, float64(len(view.Borrowed)), address)
+	// Each counter names its label value in a field tag.
+	counters := reflect.ValueOf(view.Counters)
+	for i := range counters.NumField() {
+		outcome := counters.Type().Field(i).Tag.Get("metric")
+		sendCounter(metrics, federationEventsDesc, float64(counters.Field(i).Int()), address, outcome)
+	}
+}
--- /dev/null
+++ b/cmd/curlewctl/samples.go
@@ -0,0 +1,148 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"curlewspool/internal/client"
+	"curlewspool/internal/devcluster"
+	"curlewspool/internal/historycheck"
+	"curlewspool/internal/protocol"
+	"curlewspool/internal/simulator"
+)
+
+// How sample jobs are asked about.
+const (
+	samplePollInterval = time.Second / 2
+	samplePatience     = 10 * time.Minute
+	sampleClass        = "sample"
+)
+
+// Every third sample job is a gang of this size.
+const (
+	gangEvery    = 3
+	gangTasks    = 3
+	gangCores    = 2
+	samplesCores = 1 // of the tasks of the others
+)
+
+// sampleLoad is what curlewctl dev --sample submits.
+type sampleLoad struct {
+	jobs    int // to each cluster
+	tasks   int // of each array
+	seconds float64
+	cluster string // the only one to submit to; "": all
+}
+
+// sampleRun is one run of the sample jobs.
+type sampleRun struct {
+	logf    func(format string, args ...any)
+	waiting sync.WaitGroup
+
+	mu     sync.Mutex
+	failed error
+}
+
+// run submits the sample jobs, waits until all are done, and checks what the machines
+// observed.
+func (l *sampleLoad) run(ctx context.Context, dev *devcluster.Dev, logf func(string, ...any)) (*historycheck.Report, error) {
+	run := &sampleRun{logf: logf}
+	tasksOfJob := map[string]int{}
+	start := time.Now()
+	for _, cluster := range dev.Clusters {
+		if l.cluster != "" && l.cluster != cluster.Name {
+			continue
+		}
+		for i := range l.jobs {
+			submission := l.submission(cluster.Name, i)
+			tasksOfJob[*submission.ID] = int(*submission.Tasks)
+			if err := run.start(ctx, cluster.Address(), submission); err != nil {
+				return nil, err
+			}
+		}
+	}
+	run.waiting.Wait()
+	if run.failed != nil {
+		return nil, run.failed
+	}
+	report, err := checkHistory(filepath.Join(dev.Dir(), devcluster.ObservationsFile))
+	if err != nil {
+		return nil, err
+	}
+	checkFinishedTasks(report, tasksOfJob)
+	logf("%d jobs done in %.0f s; machines saw %d tasks start %d times, %d finished once (%s), %d started again with their result kept",
+		len(tasksOfJob), time.Since(start).Seconds(), report.Tasks, report.Starts, report.Finished, formatByCluster(report.ByCluster), report.ResultsReused)
+	if len(report.Violations) > 0 {
+		return report, errors.New(report.Violations[0])
+	}
+	return report, nil
+}
+
+// submission returns the i-th sample job of a cluster.
+func (l *sampleLoad) submission(cluster string, i int) *protocol.Submission {
+	id := fmt.Sprintf("wk-sample-%s%d", cluster, i+1)
+	submission := simulator.NewSubmission(id, protocol.ShapeArray, l.tasks, samplesCores, l.seconds, nil)
+	if i%gangEvery == gangEvery-1 {
+		submission = simulator.NewSubmission(id, protocol.ShapeGang, gangTasks, gangCores, l.seconds, nil)
+	}
+	*submission.Class = sampleClass
+	return submission
+}
+
+// start submits a job and waits for its end in the background.
+func (r *sampleRun) start(ctx context.Context, address string, submission *protocol.Submission) error {
+	cluster, err := client.New(address)
+	if err != nil {
+		return err
+	}
+	cluster.RetryInterval, cluster.Patience = samplePollInterval, samplePatience
+	r.waiting.Add(1)
+	go func() {
+		defer r.waiting.Done()
+		_, err := cluster.Submit(ctx, submission)
+		if err == nil {
+			_, err = cluster.Wait(ctx, *submission.ID, r.logState)
+		}
+		if err != nil {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.failed = fmt.Errorf("%s: %w", *submission.ID, err)
+		}
+	}()
+	return nil
+}
+
+// logState reports a change of a job's state.
+func (r *sampleRun) logState(state *protocol.JobState) {
+	r.logf("%s", client.FormatState(state))
+}
+
+// checkFinishedTasks adds a violation for each job of which the machines did not
+// finish every task.
+func checkFinishedTasks(report *historycheck.Report, tasksOfJob map[string]int) {
+	for jobID, tasks := range tasksOfJob {
+		if report.Jobs[jobID] != tasks {
+			report.Violations = append(report.Violations, fmt.Sprintf("%s is done, machines finished %d of its %d tasks", jobID, report.Jobs[jobID], tasks))
+		}
+	}
+}
+
+// formatByCluster lists how many tasks finished in each cluster.
+func formatByCluster(finished map[string]int) string {
+	var parts []string
+	for _, cluster := range slices.Sorted(maps.Keys(finished)) {
+		name := cluster
+		if name == "" {
+			name = "here"
+		}
+		parts = append(parts, fmt.Sprintf("%s %d", name, finished[cluster]))
+	}
+	return strings.Join(parts, ", ")
+}
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,6 +1,6 @@
-// Package client speaks to a cluster as its users do (PROTOCOL, "Users ->
-// controller nodes"): a submission is repeated under its own id until it is
-// answered, so a lost connection never makes a second job.
+// Package client talks to a cluster as its users do (PROTOCOL, "Users -> controller
+// nodes"). A submission is retried under its own id until it is answered, so a lost
+// connection never makes a second job.
 package client
 
 import (
@@ -18,174 +18,225 @@
 	"curlewspool/internal/protocol"
 )
 
-// Client asks the addresses of one cluster, the next when one does not answer.
+const (
+	// requestTimeout bounds one attempt.
+	requestTimeout = 5 * time.Second
+	// maxRetryAfter bounds the delay that a controller can ask for.
+	maxRetryAfter = 30 * time.Second
+	// jitterDivisor bounds the random share of the interval that is added to it.
+	jitterDivisor = 4
+)
+
+const jobsPath = "/v2/runs"
+
+// Client sends requests to the controllers of one cluster, to the next address when
+// one does not answer. It is not safe for concurrent use.
 type Client struct {
-	addrs []string
-	next  int
-	http  fasthttp.Client
-	// Patience bounds the repeats of one question, Pause is the least time
-	// between two of them.
-	Patience, Pause time.Duration
-	// Again is told why a question is repeated and for how long it may yet be; nil:
-	// nobody.
-	Again func(why string, left time.Duration)
-}
-
-// New makes a client of a cluster; to is one address or several with commas.
-func New(to string) (*Client, error) {
-	c := &Client{Patience: time.Minute, Pause: time.Second}
-	for _, a := range strings.Split(to, ",") {
-		if a = strings.TrimSpace(a); a == "" {
+	addresses []string
+	current   int // of the address in use; counts on beyond their number
+	http      fasthttp.Client
+	// Patience bounds the time for which one request is retried.
+	Patience time.Duration
+	// RetryInterval is the least time between two attempts, and between two polls of
+	// Wait.
+	RetryInterval time.Duration
+	// OnRetry, if set, is told before each retry why it is needed and for how long
+	// retries may go on.
+	OnRetry func(reason string, left time.Duration)
+}
+
+// New makes a client of a cluster whose addresses are given as HOST:PORT, separated by
+// commas.
+func New(addressList string) (*Client, error) {
+	c := &Client{Patience: time.Minute, RetryInterval: time.Second}
+	for _, address := range strings.Split(addressList, ",") {
+		address = strings.TrimSpace(address)
+		if address == "" {
 			continue
 		}
-		host, port, err := net.SplitHostPort(a)
-		if n, bad := strconv.ParseUint(port, 10, 16); err != nil || host == "" || bad != nil || n == 0 {
-			return nil, fmt.Errorf("%q is no address of a cluster: want HOST:PORT", a)
+		if !isValidAddress(address) {
+			return nil, fmt.Errorf("%q is no address of a cluster: want HOST:PORT", address)
 		}
-		c.addrs = append(c.addrs, a)
+		c.addresses = append(c.addresses, address)
 	}
-	if len(c.addrs) == 0 {
+	if len(c.addresses) == 0 {
 		return nil, errors.New("no address of a cluster: give --to HOST:PORT or set CURLEW_TO")
 	}
-	c.http.MaxIdemponentCallAttempts = 1
+	c.http.MaxIdemponentCallAttempts = 1 // retries are counted and reported here
 	return c, nil
 }
 
-// Refused is an answer that a repeat would not change.
-type Refused struct {
-	Status int
-	Why    string
+func isValidAddress(address string) bool {
+	host, portText, err := net.SplitHostPort(address)
+	if err != nil || host == "" {
+		return false
+	}
+	port, err := strconv.ParseUint(portText, 10, 16)
+	return err == nil && port > 0
+}
+
+// RefusedError is an answer that a retry would not change.
+type RefusedError struct {
+	Status int // of HTTP
+	Reason string
 }
 
 // Error says the status and the reason.
-func (r *Refused) Error() string { return fmt.Sprintf("refused with %d: %s", r.Status, r.Why) }
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("refused with %d: %s", e.Status, e.Reason)
+}
 
-// ErrNone tells that nothing is known of the job.
-var ErrNone = errors.New("no such job")
+// ErrNoSuchJob says that the cluster does not know the job.
+var ErrNoSuchJob = errors.New("no such job")
 
-// ask repeats a request until it is answered for good: every status but 200,
-// 201, 400, 404 and 422 is asked again, after Retry-After if that is longer.
-func (c *Client) ask(ctx context.Context, method, path string, in any) (*protocol.JobState, error) {
-	end := time.Now().Add(c.Patience)
+// response is the answer to one attempt.
+type response struct {
+	status     int // of HTTP; 0: there was no answer
+	body       []byte
+	retryAfter time.Duration
+}
+
+// reason returns what the error response in the body says.
+func (r *response) reason() string {
+	var decoded protocol.ErrorResponse
+	_ = protocol.Decode(r.body, &decoded) // without a reason the status must do
+	return decoded.Error
+}
+
+// request sends a request until it has a final answer: every status but 200, 201, 400,
+// 404 and 422 is retried, after Retry-After if that is longer than the interval.
+func (c *Client) request(ctx context.Context, method, path string, payload any) (*protocol.JobState, error) {
+	deadline := time.Now().Add(c.Patience)
 	for {
-		wait := c.Pause + time.Duration(rand.Int64N(int64(c.Pause)/4+1))
-		status, body, retry := c.once(method, path, in)
-		var p protocol.ErrorResponse
-		var last string
-		switch status {
-		case 200, 201:
-			s := &protocol.JobState{}
-			if err := protocol.Decode(body, s); err != nil {
-				return nil, fmt.Errorf("answer not understood: %w", err)
-			}
-			return s, nil
-		case 404:
-			return nil, ErrNone
-		case 400, 422:
-			_ = protocol.Decode(body, &p)
-			return nil, &Refused{status, p.Error}
+		delay := c.RetryInterval + time.Duration(rand.Int64N(int64(c.RetryInterval)/jitterDivisor+1))
+		answer := c.attempt(method, path, payload)
+		var reason string
+		switch answer.status {
+		case fasthttp.StatusOK, fasthttp.StatusCreated:
+			return decodeState(answer.body)
+		case fasthttp.StatusNotFound:
+			return nil, ErrNoSuchJob
+		case fasthttp.StatusBadRequest, fasthttp.StatusUnprocessableEntity:
+			return nil, &RefusedError{answer.status, answer.reason()}
 		case 0:
-			last = "no answer from " + c.addrs[c.next%len(c.addrs)]
-			c.next++
+			reason = "no answer from " + c.address()
+			c.current++
 		default:
-			_ = protocol.Decode(body, &p)
-			last = fmt.Sprintf("%d %s", status, p.Error)
-			wait = max(wait, min(retry, 30*time.Second))
+			reason = fmt.Sprintf("%d %s", answer.status, answer.reason())
+			delay = max(delay, min(answer.retryAfter, maxRetryAfter))
 		}
-		if time.Now().Add(wait).After(end) {
-			return nil, fmt.Errorf("given up after %v: %s", c.Patience, last)
+		if time.Now().Add(delay).After(deadline) {
+			return nil, fmt.Errorf("given up after %v: %s", c.Patience, reason)
 		}
-		if c.Again != nil {
-			c.Again(last, time.Until(end))
+		if c.OnRetry != nil {
+			c.OnRetry(reason, time.Until(deadline))
 		}
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-time.After(wait):
+		if err := sleep(ctx, delay); err != nil {
+			return nil, err
 		}
 	}
 }
 
-func (c *Client) once(method, path string, in any) (status int, body []byte, retry time.Duration) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.SetRequestURI("http://" + c.addrs[c.next%len(c.addrs)] + path)
-	req.Header.SetMethod(method)
-	if in != nil {
-		req.Header.SetContentType("application/cbor")
-		req.SetBodyRaw(protocol.Encode(in))
+// sleep waits for a time or the end of the context, whose error it returns.
+func sleep(ctx context.Context, duration time.Duration) error {
+	select {
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(duration):
+		return nil
 	}
-	if err := c.http.DoTimeout(req, resp, 5*time.Second); err != nil {
-		return 0, nil, 0
-	}
-	if s, err := strconv.Atoi(string(resp.Header.Peek("Retry-After"))); err == nil {
-		retry = time.Duration(s) * time.Second
+}
+
+func decodeState(body []byte) (*protocol.JobState, error) {
+	state := &protocol.JobState{}
+	if err := protocol.Decode(body, state); err != nil {
+		return nil, fmt.Errorf("answer not understood: %w", err)
 	}
-	return resp.StatusCode(), append([]byte(nil), resp.Body()...), retry
+	return state, nil
 }
 
-// Submit hands a job over. After a lost answer it is repeated under the same
-// id, which the cluster takes as the same job.
-func (c *Client) Submit(ctx context.Context, s *protocol.Submission) (*protocol.JobState, error) {
-	return c.ask(ctx, "POST", "/v2/runs", s)
+// address returns the address in use.
+func (c *Client) address() string { return c.addresses[c.current%len(c.addresses)] }
+
+// attempt sends a request once.
+func (c *Client) attempt(method, path string, payload any) response {
+	request, answer := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(answer)
+	request.SetRequestURI("http://" + c.address() + path)
+	request.Header.SetMethod(method)
+	if payload != nil {
+		request.Header.SetContentType("application/cbor")
+		request.SetBodyRaw(protocol.Encode(payload))
+	}
+	if err := c.http.DoTimeout(request, answer, requestTimeout); err != nil {
+		return response{}
+	}
+	received := response{
+		status: answer.StatusCode(),
+		body:   append([]byte(nil), answer.Body()...), // answer is reused after its release
+	}
+	if seconds, err := strconv.Atoi(string(answer.Header.Peek("Retry-After"))); err == nil {
+		received.retryAfter = time.Duration(seconds) * time.Second
+	}
+	return received
 }
 
-// Status asks for a job's state.
-func (c *Client) Status(ctx context.Context, id string) (*protocol.JobState, error) {
-	return c.ask(ctx, "GET", "/v2/runs/"+id, nil)
+// Submit submits a job. It is idempotent: the cluster takes a retry under the same id
+// as the same job. Errors: RefusedError, the context's, or that retries were given up.
+func (c *Client) Submit(ctx context.Context, submission *protocol.Submission) (*protocol.JobState, error) {
+	return c.request(ctx, fasthttp.MethodPost, jobsPath, submission)
 }
 
-// Abort cancels a job; the answer says whether it was done before.
-func (c *Client) Abort(ctx context.Context, id string) (*protocol.JobState, error) {
-	return c.ask(ctx, "POST", "/v2/runs/"+id+"/abort", nil)
+// Status returns the state of a job. Errors: ErrNoSuchJob and those of Submit.
+func (c *Client) Status(ctx context.Context, jobID string) (*protocol.JobState, error) {
+	return c.request(ctx, fasthttp.MethodGet, jobsPath+"/"+jobID, nil)
 }
 
-// Over tells whether a state is final.
-func Over(s *protocol.JobState) bool {
-	return s.Status.IsFinal()
+// Abort cancels a job; the state says whether it was done before. Errors are those of
+// Status.
+func (c *Client) Abort(ctx context.Context, jobID string) (*protocol.JobState, error) {
+	return c.request(ctx, fasthttp.MethodPost, jobsPath+"/"+jobID+"/abort", nil)
 }
 
-// Wait polls until the job is over; each state that differs from the one
-// before is given to changed.
-func (c *Client) Wait(ctx context.Context, id string, changed func(*protocol.JobState)) (*protocol.JobState, error) {
-	last := ""
+// Wait polls until the job has ended and returns its last state. Each state that is
+// printed differently from the one before is given to onChange, unless that is nil.
+func (c *Client) Wait(ctx context.Context, jobID string, onChange func(*protocol.JobState)) (*protocol.JobState, error) {
+	previous := ""
 	for {
-		s, err := c.Status(ctx, id)
+		state, err := c.Status(ctx, jobID)
 		if err != nil {
 			return nil, err
 		}
-		if now := Line(s); now != last {
-			last = now
-			if changed != nil {
-				changed(s)
+		if text := FormatState(state); text != previous {
+			previous = text
+			if onChange != nil {
+				onChange(state)
 			}
 		}
-		if Over(s) {
-			return s, nil
+		if state.Status.IsFinal() {
+			return state, nil
 		}
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-time.After(c.Pause):
+		if err := sleep(ctx, c.RetryInterval); err != nil {
+			return nil, err
 		}
 	}
 }
 
-// Line is a job's state for people.
-func Line(s *protocol.JobState) string {
-	line := s.ID + " " + string(s.Status)
-	if s.Done != nil && s.Running != nil && !Over(s) {
-		line += fmt.Sprintf(" (%d done, %d running)", *s.Done, *s.Running)
+// FormatState returns the state of a job as a line for people.
+func FormatState(state *protocol.JobState) string {
+	line := state.ID + " " + string(state.Status)
+	if state.Done != nil && state.Running != nil && !state.Status.IsFinal() {
+		line += fmt.Sprintf(" (%d done, %d running)", *state.Done, *state.Running)
 	}
-	if len(s.PendingDependencies) > 0 {
-		line += "; waits for " + strings.Join(s.PendingDependencies, ", ")
+	if len(state.PendingDependencies) > 0 {
+		line += "; waits for " + strings.Join(state.PendingDependencies, ", ")
 	}
-	if s.CancelledBy != "" {
-		line += " with " + s.CancelledBy + ", which it needs"
+	if state.CancelledBy != "" {
+		line += " with " + state.CancelledBy + ", which it needs"
 	}
-	for _, e := range s.Remote {
-		line += fmt.Sprintf("; %d tasks from %d on are at %s: %s", e.Tasks, e.FirstTask, e.Cluster, e.Reason)
+	for _, remote := range state.Remote {
+		line += fmt.Sprintf("; %d tasks from %d on are at %s: %s", remote.Tasks, remote.FirstTask, remote.Cluster, remote.Reason)
 	}
 	return line
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -14,22 +14,22 @@
 	"curlewspool/internal/protocol"
 )
 
-// server answers by a script, a line for each request: "cut" takes the request
-// and closes the connection without an answer.
-type server struct {
-	mu     sync.Mutex
-	script []string
-	saw    []string
+// scriptedServer answers by a script, one entry for each request: "cut" takes the
+// request and closes the connection without an answer.
+type scriptedServer struct {
+	mu       sync.Mutex
+	script   []string
+	requests []string // method, path and job id
 }
 
-func (s *server) handle(c *fasthttp.RequestCtx) {
+func (s *scriptedServer) handle(c *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var sub struct {
 		ID string `cbor:"id"`
 	}
 	_ = protocol.Decode(c.PostBody(), &sub)
-	s.saw = append(s.saw, string(c.Method())+" "+string(c.Path())+" "+sub.ID)
+	s.requests = append(s.requests, string(c.Method())+" "+string(c.Path())+" "+sub.ID)
 	do := "cut"
 	if len(s.script) > 0 {
 		do, s.script = s.script[0], s.script[1:]
@@ -58,13 +58,14 @@
 	}
 }
 
-func start(t *testing.T, script ...string) (*server, *Client) {
+// startServer starts a scripted server and a client of it.
+func startServer(t *testing.T, script ...string) (*scriptedServer, *Client) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &server{script: script}
+	s := &scriptedServer{script: script}
 	f := &fasthttp.Server{Handler: s.handle}
 	go func() { _ = f.Serve(ln) }()
 	t.Cleanup(func() { _ = f.Shutdown() })
@@ -72,13 +73,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Pause, c.Patience = 5*time.Millisecond, 4*time.Second
+	c.RetryInterval, c.Patience = 5*time.Millisecond, 4*time.Second
 	return s, c
 }
 
-// A submission whose answer is lost is repeated under its own id, after the
-// pause that the cluster asks for; what a repeat would not change is not.
-func TestSubmit(t *testing.T) {
+// TestSubmitRetries checks that a submission whose answer is lost is retried under its
+// own id, after the delay that the cluster asks for, and that what a retry would not
+// change is not.
+func TestSubmitRetries(t *testing.T) {
 	id := "wk-1"
 	for _, c := range []struct {
 		script []string
@@ -90,50 +92,54 @@
 		{[]string{"busy", "accepted"}, 2, "pending"},
 		{[]string{"never", "accepted"}, 1, "refused with 422: unknown team"},
 	} {
-		s, cl := start(t, c.script...)
-		began := time.Now()
-		st, err := cl.Submit(context.Background(), &protocol.Submission{ID: &id})
-		got := ""
-		var refused *Refused
-		switch {
-		case err == nil:
-			got = string(st.Status)
-		case errors.As(err, &refused):
-			got = err.Error()
-		default:
-			t.Errorf("%v: %v", c.script, err)
-		}
-		if got != c.want || len(s.saw) != c.tries {
-			t.Errorf("%v: %q after %d tries, want %q after %d", c.script, got, len(s.saw), c.want, c.tries)
-		}
-		for _, x := range s.saw {
-			if x != "POST /v2/runs wk-1" {
-				t.Errorf("%v: asked %q", c.script, x)
+		t.Run(strings.Join(c.script, " "), func(t *testing.T) {
+			s, cl := startServer(t, c.script...)
+			began := time.Now()
+			st, err := cl.Submit(context.Background(), &protocol.Submission{ID: &id})
+			got := ""
+			var refused *RefusedError
+			switch {
+			case err == nil:
+				got = string(st.Status)
+			case errors.As(err, &refused):
+				got = err.Error()
+			default:
+				t.Errorf("%v: %v", c.script, err)
 			}
-		}
-		if c.script[0] == "busy" && time.Since(began) < time.Second {
-			t.Error("asked again before Retry-After")
-		}
+			if got != c.want || len(s.requests) != c.tries {
+				t.Errorf("%v: %q after %d tries, want %q after %d", c.script, got, len(s.requests), c.want, c.tries)
+			}
+			for _, x := range s.requests {
+				if x != "POST /v2/runs wk-1" {
+					t.Errorf("%v: asked %q", c.script, x)
+				}
+			}
+			if c.script[0] == "busy" && time.Since(began) < time.Second {
+				t.Error("asked again before Retry-After")
+			}
+		})
 	}
 }
 
-// Wait ends with a final state only, and tells each change once.
-func TestWait(t *testing.T) {
-	_, cl := start(t, "pending", "cut", "pending", "running", "busy", "running", "done")
+// TestWaitUntilFinal checks that Wait ends with a final state only and reports each
+// change once.
+func TestWaitUntilFinal(t *testing.T) {
+	_, cl := startServer(t, "pending", "cut", "pending", "running", "busy", "running", "done")
 	said := ""
 	st, err := cl.Wait(context.Background(), "wk-1", func(s *protocol.JobState) { said += string(s.Status) + " " })
 	if err != nil || st.Status != protocol.JobDone || said != "pending running done " {
 		t.Errorf("%+v %v, told %q", st, err, said)
 	}
-	_, cl = start(t, "none")
-	if _, err := cl.Status(context.Background(), "wk-2"); !errors.Is(err, ErrNone) {
+	_, cl = startServer(t, "none")
+	if _, err := cl.Status(context.Background(), "wk-2"); !errors.Is(err, ErrNoSuchJob) {
 		t.Errorf("a job that is not there: %v", err)
 	}
 }
 
-// A cluster that never answers is given up after the client's patience.
-func TestPatience(t *testing.T) {
-	_, cl := start(t)
+// TestGivesUp checks that a cluster that never answers is given up after the client's
+// patience.
+func TestGivesUp(t *testing.T) {
+	_, cl := startServer(t)
 	cl.Patience = 50 * time.Millisecond
 	if _, err := cl.Status(context.Background(), "wk-1"); err == nil || !strings.Contains(err.Error(), "given up after 50ms") {
 		t.Errorf("%v", err)
--- a/internal/devcluster/dependency_test.go
+++ b/internal/devcluster/dependency_test.go
@@ -11,19 +11,28 @@
 	"curlewspool/internal/simulator"
 )
 
-// A cluster of real processes runs a pipeline in its order, says what a job waits for, and
-// withdraws with a cancelled job what needs it, through others too, and says why.
+// TestDependenciesOnRealProcesses checks that a cluster of real processes runs a pipeline
+// in its order, says what a job waits for, and cancels with a job those that need it, also
+// through others, and says why.
 func TestDependenciesOnRealProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("some 20 s of real time")
 	}
 	t.Parallel()
-	dir := t.TempDir()
-	program, err := Program("", dir, t.Logf)
+	program, err := Program("", t.TempDir(), t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := Start(Plan{Controllers: 3, Machines: 4, Zones: 2, Clusters: 1, Dir: t.TempDir(), Program: program, LogLevel: "error", Say: t.Logf})
+	d, err := Start(Plan{
+		Controllers: 3,
+		Machines:    4,
+		Zones:       2,
+		Clusters:    1,
+		Dir:         t.TempDir(),
+		Program:     program,
+		LogLevel:    "error",
+		Logf:        t.Logf,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +46,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Pause, c.Patience = time.Second/4, time.Minute
+	c.RetryInterval, c.Patience = time.Second/4, time.Minute
 	submit := func(id string, estimate float64, needs ...string) {
 		if _, err := c.Submit(ctx, simulator.NewSubmission(id, protocol.ShapeArray, 2, 1, estimate, simulator.DependsOn(needs...))); err != nil {
 			t.Fatalf("%s: %v", id, err)
@@ -58,6 +67,13 @@
 	if s, err := c.Abort(ctx, "wk-long"); err != nil || s.Status != protocol.JobCancelled {
 		t.Errorf("%+v, %v", s, err)
 	}
+	checkPipelineEnds(ctx, t, c)
+}
+
+// checkPipelineEnds waits for each job and checks its final status and, if it was
+// cancelled, with which job.
+func checkPipelineEnds(ctx context.Context, t *testing.T, c *client.Client) {
+	t.Helper()
 	for id, want := range map[string]protocol.JobStatus{
 		"wk-first":  protocol.JobDone,
 		"wk-second": protocol.JobDone,
--- a/internal/devcluster/devcluster_test.go
+++ b/internal/devcluster/devcluster_test.go
@@ -17,92 +17,136 @@
 	"curlewspool/internal/simulator"
 )
 
-// Two clusters as real processes, more work for west than it holds, and one of
-// them ends, or their certificates expire with work out: every job is done, every task finished once, none
-// was in two places, as the machines saw it.
-func TestTwoClusters(t *testing.T) {
+// Load of TestPartnerClusters: more than one cluster holds.
+const (
+	jobCount      = 12
+	tasksPerJob   = 12
+	estimate      = 5 // seconds
+	partnersLimit = 150 * time.Second
+)
+
+// partnerCase is a fault of one of two partner clusters.
+type partnerCase struct {
+	name                string
+	kill                string // "": nothing is killed
+	certificateValidity time.Duration
+}
+
+// TestPartnerClusters runs two clusters as real processes, with more work for west than
+// it holds. One of them ends, or their certificates expire while tasks are at the
+// partner: every job is done, every task finished once, and none was in two places, as
+// the machines saw it.
+func TestPartnerClusters(t *testing.T) {
 	if testing.Short() {
 		t.Skip("some 30 s of real time")
 	}
-	dir := t.TempDir()
-	program, err := Program("", dir, t.Logf)
+	program, err := Program("", t.TempDir(), t.Logf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct {
-		name, kill string
-		certs      time.Duration
-	}{{"the partner ends for good", "east/@12s", time.Hour}, {"home ends for a while", "west/@9s+6s", time.Hour}, {"certificates expire", "", 14 * time.Second}} {
+	for _, c := range []partnerCase{
+		{"the partner ends for good", "east/@12s", time.Hour},
+		{"home ends for a while", "west/@9s+6s", time.Hour},
+		{"certificates expire", "", 14 * time.Second},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			p := Plan{Controllers: 3, Machines: 4, Zones: 2, Clusters: 2, Dir: t.TempDir(), Program: program, LogLevel: "info", Say: t.Logf}
-			if c.kill != "" {
-				kill, err := ParseKill(c.kill)
-				if err != nil {
-					t.Fatal(err)
-				}
-				p.Kills = []Kill{kill}
-			}
-			if err := p.Partners(0.8, c.certs); err != nil {
-				t.Fatal(err)
-			}
-			d, err := Start(p)
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer d.Stop()
-			ctx, cancel := context.WithTimeout(context.Background(), 150*time.Second)
-			defer cancel()
-			if err := d.Ready(ctx); err != nil {
-				t.Fatal(err)
-			}
-			const jobs, tasks = 12, 12
-			var wg sync.WaitGroup
-			for i := range jobs {
-				cl, err := client.New(d.Clusters[0].Address())
-				if err != nil {
-					t.Fatal(err)
-				}
-				cl.Pause, cl.Patience = time.Second/2, 2*time.Minute
-				wg.Add(1)
-				go func() {
-					defer wg.Done()
-					id := fmt.Sprintf("wk-%d", i)
-					_, err := cl.Submit(ctx, simulator.NewSubmission(id, protocol.ShapeArray, tasks, 1, 5, nil))
-					s := &protocol.JobState{}
-					if err == nil {
-						s, err = cl.Wait(ctx, id, nil)
-					}
-					if err != nil || s.Status != protocol.JobDone {
-						t.Errorf("%s: %+v %v", id, s, err)
-					}
-				}()
-			}
-			wg.Wait()
-			f, err := os.Open(filepath.Join(p.Dir, "machines.jsonl"))
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer func() { _ = f.Close() }()
-			r, err := historycheck.Check(f)
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Logf("%d starts of %d tasks, finished %v, %d again with their result kept", r.Starts, r.Tasks, r.ByCluster, r.ResultsReused)
-			for _, x := range r.Violations {
-				t.Error(x)
-			}
-			if r.Finished != jobs*tasks || len(r.Jobs) != jobs || r.ByCluster["east"] == 0 && strings.HasPrefix(c.kill, "west") {
-				t.Errorf("%d of %d tasks finished once, of %d jobs, in %v", r.Finished, jobs*tasks, len(r.Jobs), r.ByCluster)
-			}
+			c.run(t, program)
 		})
 	}
 }
 
-// A controller's port stays its own while it is away: CI failed once, and a run beside the
-// bench, as a connection of another process had been given it meanwhile.
+// run starts the clusters, submits the jobs to west and checks their end.
+func (c *partnerCase) run(t *testing.T, program string) {
+	plan := Plan{
+		Controllers: 3,
+		Machines:    4,
+		Zones:       2,
+		Clusters:    2,
+		Dir:         t.TempDir(),
+		Program:     program,
+		LogLevel:    "info",
+		Logf:        t.Logf,
+	}
+	if c.kill != "" {
+		kill, err := ParseKill(c.kill)
+		if err != nil {
+			t.Fatal(err)
+		}
+		plan.Kills = []Kill{kill}
+	}
+	if err := plan.Partners(0.8, c.certificateValidity); err != nil {
+		t.Fatal(err)
+	}
+	d, err := Start(plan)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer d.Stop()
+	ctx, cancel := context.WithTimeout(context.Background(), partnersLimit)
+	defer cancel()
+	if err := d.Ready(ctx); err != nil {
+		t.Fatal(err)
+	}
+	var waiting sync.WaitGroup
+	for i := range jobCount {
+		cluster, err := client.New(d.Clusters[0].Address())
+		if err != nil {
+			t.Fatal(err)
+		}
+		cluster.RetryInterval, cluster.Patience = time.Second/2, 2*time.Minute
+		waiting.Add(1)
+		go func() {
+			defer waiting.Done()
+			runJob(ctx, t, cluster, fmt.Sprintf("wk-%d", i))
+		}()
+	}
+	waiting.Wait()
+	report := checkObservations(t, plan.Dir)
+	if report.Finished != jobCount*tasksPerJob || len(report.Jobs) != jobCount {
+		t.Errorf("%d of %d tasks finished once, of %d jobs, in %v", report.Finished, jobCount*tasksPerJob, len(report.Jobs), report.ByCluster)
+	}
+	if report.ByCluster["east"] == 0 && strings.HasPrefix(c.kill, "west") {
+		t.Errorf("no task finished at the partner: %v", report.ByCluster)
+	}
+}
+
+// runJob submits a job and waits until it is done.
+func runJob(ctx context.Context, t *testing.T, cluster *client.Client, id string) {
+	state := &protocol.JobState{}
+	_, err := cluster.Submit(ctx, simulator.NewSubmission(id, protocol.ShapeArray, tasksPerJob, 1, estimate, nil))
+	if err == nil {
+		state, err = cluster.Wait(ctx, id, nil)
+	}
+	if err != nil || state.Status != protocol.JobDone {
+		t.Errorf("%s: %+v %v", id, state, err)
+	}
+}
+
+// checkObservations checks what the machines saw; each violation fails the test.
+func checkObservations(t *testing.T, dir string) *historycheck.Report {
+	t.Helper()
+	file, err := os.Open(filepath.Join(dir, ObservationsFile))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = file.Close() }() // read only
+	report, err := historycheck.Check(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Logf("%d starts of %d tasks, finished %v, %d again with their result kept", report.Starts, report.Tasks, report.ByCluster, report.ResultsReused)
+	for _, violation := range report.Violations {
+		t.Error(violation)
+	}
+	return report
+}
+
+// TestPortsStayFree checks that a controller's port stays its own while it is away: CI
+// failed once, and a run beside the bench, as a connection of another process had been
+// given it meanwhile.
 func TestPortsStayFree(t *testing.T) {
-	addrs, err := ports(9)
+	addrs, err := freePorts(9)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,15 +180,30 @@
 	}
 }
 
+// TestParseKill checks the forms of --kill, and that mistakes give an error of one line.
 func TestParseKill(t *testing.T) {
-	for s, want := range map[string]string{"n1@20s": "{ n1 20s 0s}", "east/n0@1m+5s": "{east n0 1m0s 5s}", "east/@30s": "{east  30s 0s}",
-		"n1": "", "@5s": "", "n1@x": "", "n1@5s+0s": "", "n1@-5s": ""} {
-		k, err := ParseKill(s)
-		if got := fmt.Sprint(k); (err == nil) != (want != "") || err == nil && got != want {
-			t.Errorf("%q reads as %q %v, want %q", s, got, err, want)
-		}
-		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: more than one line", s)
-		}
+	for _, c := range []struct {
+		text  string
+		want  Kill
+		valid bool
+	}{
+		{text: "n1@20s", want: Kill{Host: "n1", At: 20 * time.Second}, valid: true},
+		{text: "east/n0@1m+5s", want: Kill{Cluster: "east", Host: "n0", At: time.Minute, Back: 5 * time.Second}, valid: true},
+		{text: "east/@30s", want: Kill{Cluster: "east", At: 30 * time.Second}, valid: true},
+		{text: "n1"},
+		{text: "@5s"},
+		{text: "n1@x"},
+		{text: "n1@5s+0s"},
+		{text: "n1@-5s"},
+	} {
+		t.Run(c.text, func(t *testing.T) {
+			kill, err := ParseKill(c.text)
+			if (err == nil) != c.valid || c.valid && kill != c.want {
+				t.Errorf("reads as %+v %v, want %+v", kill, err, c.want)
+			}
+			if err != nil && strings.Contains(err.Error(), "\n") {
+				t.Errorf("more than one line: %v", err)
+			}
+		})
 	}
 }
--- /dev/null
+++ b/internal/devcluster/kill.go
@@ -0,0 +1,105 @@
+package devcluster
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+)
+
+// Kill is the death of a controller, or of all controllers of a cluster.
+type Kill struct {
+	Cluster string        // "": the only one
+	Host    string        // "": all controllers of the cluster
+	At      time.Duration // after Start
+	Back    time.Duration // after the kill; 0: it stays away
+}
+
+// ParseKill reads [CLUSTER/]HOST@TIME[+TIME], or CLUSTER/@TIME for all controllers of
+// a cluster, such as n1@20s or east/n0@20s+5s or east/@30s.
+func ParseKill(text string) (Kill, error) {
+	invalid := fmt.Errorf("--kill %q: must be [CLUSTER/][HOST]@TIME[+TIME], such as n1@20s or east/@30s+10s", text)
+	target, times, ok := strings.Cut(text, "@")
+	if !ok || target == "" {
+		return Kill{}, invalid
+	}
+	kill := Kill{Host: target}
+	if cluster, host, ok := strings.Cut(target, "/"); ok {
+		kill.Cluster, kill.Host = cluster, host
+	}
+	at, back, hasBack := strings.Cut(times, "+")
+	var err error
+	if kill.At, err = time.ParseDuration(at); err != nil || kill.At < 0 {
+		return kill, invalid
+	}
+	if hasBack {
+		if kill.Back, err = time.ParseDuration(back); err != nil || kill.Back <= 0 {
+			return kill, invalid
+		}
+	}
+	return kill, nil
+}
+
+// scheduleKill starts the execution of a kill in the background.
+func (d *Dev) scheduleKill(ctx context.Context, kill Kill) error {
+	targets := d.killTargets(kill)
+	if len(targets) == 0 {
+		return fmt.Errorf("--kill: there is no controller %q in cluster %q", kill.Host, kill.Cluster)
+	}
+	d.background.Add(1)
+	go func() {
+		defer d.background.Done()
+		d.executeKill(ctx, kill, targets)
+	}()
+	return nil
+}
+
+// killTargets returns the controllers that a kill names.
+func (d *Dev) killTargets(kill Kill) []*controllerProcess {
+	var targets []*controllerProcess
+	for _, cluster := range d.Clusters {
+		if cluster.Name != kill.Cluster {
+			continue
+		}
+		for i, process := range cluster.processes {
+			if kill.Host == "" || cluster.Platform[i].Name == kill.Host {
+				targets = append(targets, process)
+			}
+		}
+	}
+	return targets
+}
+
+// executeKill kills the targets at their time and, if they are to be back, starts them
+// again. It returns early when the context is done.
+func (d *Dev) executeKill(ctx context.Context, kill Kill, targets []*controllerProcess) {
+	if !sleep(ctx, kill.At) {
+		return
+	}
+	for _, process := range targets {
+		process.kill()
+		d.plan.Logf("killed %s", process.name)
+	}
+	if kill.Back == 0 || !sleep(ctx, kill.Back) {
+		return
+	}
+	for _, process := range targets {
+		if err := process.resume(d.plan.Program); err != nil {
+			d.plan.Logf("%s: %v", process.name, err)
+			continue
+		}
+		d.plan.Logf("%s is back", process.name)
+		d.background.Add(1)
+		go d.supervise(process)
+	}
+}
+
+// sleep waits for a time and returns false if the context is done before.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-time.After(duration):
+		return true
+	}
+}
--- a/internal/devcluster/own_other.go
+++ /dev/null
@@ -1,7 +0,0 @@
-//go:build !linux
-
-package dev
-
-import "os/exec"
-
-func own(*exec.Cmd) {}
--- a/internal/devcluster/partners.go
+++ b/internal/devcluster/partners.go
@@ -10,30 +10,44 @@
 	"curlewspool/internal/pki"
 )
 
-// Partners lets the clusters of a plan lend to each other: an authority and a
-// certificate for each, and settings for each controller. lends is the share
-// that each lends to each.
-func (p *Plan) Partners(lends float64, certLife time.Duration) error {
-	ca := filepath.Join(p.Dir, "ca")
-	// A folder that was used before has one already.
-	if err := pki.MakeCA(ca, "curlew dev", 24*time.Hour); err != nil && !os.IsExist(err) && !strings.Contains(err.Error(), "already") {
+const (
+	authorityName     = "curlew dev"
+	authorityValidity = 24 * time.Hour
+	keysFolder        = "keys" // beside a cluster's settings
+)
+
+// Partners makes the clusters of a plan partners of each other: it makes a certificate
+// authority and lets INI return settings for each. lendShare is the share of its cores
+// that each cluster lends to each other one.
+func (p *Plan) Partners(lendShare float64, certificateValidity time.Duration) error {
+	authority := filepath.Join(p.Dir, "ca")
+	err := pki.MakeCA(authority, authorityName, authorityValidity)
+	// A folder that was used before has an authority already.
+	if err != nil && !os.IsExist(err) && !strings.Contains(err.Error(), "already") {
 		return err
 	}
-	p.INI = func(c *Cluster, all []*Cluster) (string, error) {
-		dir := filepath.Join(p.Dir, c.Name, "keys")
-		if err := pki.MakeCert(dir, ca, c.Name, certLife); err != nil {
+	p.INI = func(cluster *Cluster, all []*Cluster) (string, error) {
+		folder := filepath.Join(p.Dir, cluster.Name, keysFolder)
+		if err := pki.MakeCert(folder, authority, cluster.Name, certificateValidity); err != nil {
 			return "", err
 		}
-		var b strings.Builder
-		fmt.Fprintf(&b, "[dispatch]\nchunks_per_part = 3\n\n[federation]\ncluster = %s\nlisten = {listen}\nca = keys/%s\ncert = keys/%s\nkey = keys/%s\n",
-			c.Name, pki.CAFile, pki.CertFile, pki.KeyFile)
-		for _, o := range all {
-			if o != c {
-				fmt.Fprintf(&b, "\n[partner %s]\naddresses = %s\nclasses = *\nlends = %v\nlease_s = %v\n", o.Name, strings.Join(o.Peers, ", "), lends,
-					o.Platform[0].Deployment.Workers.Lease)
-			}
-		}
-		return b.String(), nil
+		return partnerSettings(cluster, all, lendShare), nil
 	}
 	return nil
 }
+
+// partnerSettings returns the operators' settings of a cluster with all others as
+// partners.
+func partnerSettings(cluster *Cluster, all []*Cluster, lendShare float64) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "[dispatch]\nchunks_per_part = 3\n\n[federation]\ncluster = %s\nlisten = %s\nca = %s/%s\ncert = %s/%s\nkey = %s/%s\n",
+		cluster.Name, listenPlaceholder, keysFolder, pki.CAFile, keysFolder, pki.CertFile, keysFolder, pki.KeyFile)
+	for _, other := range all {
+		if other == cluster {
+			continue
+		}
+		fmt.Fprintf(&text, "\n[partner %s]\naddresses = %s\nclasses = *\nlends = %v\nlease_s = %v\n",
+			other.Name, strings.Join(other.Peers, ", "), lendShare, other.Platform[0].Deployment.Workers.Lease)
+	}
+	return text.String()
+}
