--- a/internal/devcluster/docs_test.go
+++ b/internal/devcluster/docs_test.go
@@ -246,7 +246,7 @@
 	parseInternal(t, func(file *ast.File) {
 		for _, message := range loggedErrors(file) {
 			count++
-			if !strings.Contains(string(page), "`"+message) {
+			if !strings.Contains(string(page), "`"+message+"`") {
 				t.Errorf("docs/operations.md does not have %q", message)
 			}
 		}
