--- a/internal/settings/federation.go
+++ b/internal/settings/federation.go
@@ -4,9 +4,8 @@
 	"errors"
 	"fmt"
 	"net"
-	"path/filepath"
+	"slices"
 	"sort"
-	"strconv"
 	"strings"
 	"time"
 
@@ -15,31 +14,34 @@
 	"curlewspool/internal/remotelease"
 )
 
-// Federation names this cluster to its partners; nil without a [federation]
-// section.
+// Federation names this cluster to its partner clusters, and these.
 type Federation struct {
-	Cluster  string
-	Listen   string // HOST:PORT of this controller's listener for partners
-	CA       string // files; who signs partners' certificates
-	Cert     string
-	Key      string
-	Partners []Partner // by name
+	Cluster  string    // this cluster's name
+	Listen   string    // HOST:PORT at which this controller listens for partners
+	CA       string    // file of the authority that signs partners' certificates
+	Cert     string    // file
+	Key      string    // file
+	Partners []Partner // in order of name
 }
 
-// Partner is another cluster.
+// Partner is a partner cluster.
 type Partner struct {
 	Name      string
-	Addresses []string // of its controllers' listeners
-	Classes   []string // that may go there; "*": all
-	Services  bool     // may go there
-	Lends     float64  // share of this cluster's cores lent to it
-	Term      time.Duration
+	Addresses []string      // at which its controllers listen for partners
+	Classes   []string      // of jobs that may go there; anyClass: all
+	Services  bool          // whether services may go there
+	Lends     float64       // share of this cluster's cores lent to it
+	Term      time.Duration // of remote leases
 	Lease     time.Duration // of its workers
-	Ratio     float64       // home's wait over the wait there
-	CA, Pins  string        // files; Pins lists the certificates served, if set
+	Ratio     float64       // of the expected wait here to that there, from which on jobs go there
+	CA        string        // file; "": that of Federation
+	Pins      string        // file that lists the certificates accepted; "": all that CA signed
 }
 
-// Partner finds one.
+// anyClass in the list of classes stands for all of them.
+const anyClass = "*"
+
+// Partner returns the partner of a name, or nil. It may be called on nil.
 func (f *Federation) Partner(name string) *Partner {
 	if f == nil {
 		return nil
@@ -52,186 +54,158 @@
 	return nil
 }
 
-// MayGo tells whether jobs of a class may go to the partner.
+// MayGo reports whether jobs of a class may go to the partner.
 func (p *Partner) MayGo(class string) bool {
-	for _, c := range p.Classes {
-		if c == class || c == "*" {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(p.Classes, class) || slices.Contains(p.Classes, anyClass)
 }
 
-// partnerSection starts the name of a partner's section: [partner east].
-const partnerSection = "partner "
+const (
+	federationSection = "federation"
+	// partnerSectionPrefix starts the name of a partner's section: [partner east].
+	partnerSectionPrefix = "partner "
+)
 
-func federated(section string) bool {
-	return section == "federation" || strings.HasPrefix(section, partnerSection)
+// isFederationSection reports whether a section is read by readFederation.
+func isFederationSection(section string) bool {
+	return section == federationSection || strings.HasPrefix(section, partnerSectionPrefix)
 }
 
-// federation reads [federation] and [partner NAME]; files are beside dir.
-func (s *Settings) federation(file *ini.File, dir string) error {
+// partnerNames lists the partners that have a section, in order of name.
+func partnerNames(file *ini.File) []string {
 	var names []string
-	for _, sec := range file.Sections() {
-		if strings.HasPrefix(sec.Name(), partnerSection) {
-			names = append(names, strings.TrimSpace(strings.TrimPrefix(sec.Name(), partnerSection)))
+	for _, section := range file.Sections() {
+		if name, ok := strings.CutPrefix(section.Name(), partnerSectionPrefix); ok {
+			names = append(names, strings.TrimSpace(name))
 		}
 	}
-	if !file.HasSection("federation") {
+	sort.Strings(names)
+	return names
+}
+
+// readFederation reads [federation] and each [partner NAME]; files that they name are
+// looked for in the folder. Without a [federation] section there are no partners.
+func (s *Settings) readFederation(file *ini.File, folder string) error {
+	names := partnerNames(file)
+	if !file.HasSection(federationSection) {
 		if len(names) > 0 {
 			return errors.New("[partner ...] needs a [federation] section")
 		}
 		return nil
 	}
-	sort.Strings(names)
-	r := &reader{sec: file.Section("federation"), dir: dir}
-	f := &Federation{Cluster: r.text("cluster", ""), Listen: r.text("listen", ""), CA: r.file("ca", true), Cert: r.file("cert", true), Key: r.file("key", true)}
-	if err := r.done(); err != nil {
+	federation, err := s.parseFederation(file.Section(federationSection), folder)
+	if err != nil {
 		return err
 	}
-	if !remotelease.IsValidClusterName(f.Cluster) {
-		return fmt.Errorf("[federation] cluster: %q must be 1 to 20 of a-z, 0-9 and -", f.Cluster)
-	}
-	host, _, _ := net.SplitHostPort(s.API)
-	if strings.HasPrefix(f.Listen, ":") {
-		f.Listen = host + f.Listen
-	}
-	if !address(f.Listen) {
-		return fmt.Errorf("[federation] listen: %q must be HOST:PORT or :PORT", f.Listen)
-	}
 	for _, name := range names {
-		p, err := s.partner(file.Section(partnerSection+name), name, dir)
+		partner, err := s.parsePartner(file.Section(partnerSectionPrefix+name), name, folder)
 		if err != nil {
 			return fmt.Errorf("[partner %s] %w", name, err)
 		}
-		if name == f.Cluster || f.Partner(name) != nil {
+		if name == federation.Cluster || federation.Partner(name) != nil {
 			return fmt.Errorf("[partner %s] is this cluster itself, or there twice", name)
 		}
-		f.Partners = append(f.Partners, *p)
+		federation.Partners = append(federation.Partners, *partner)
 	}
-	if len(f.Partners) == 0 {
+	if len(federation.Partners) == 0 {
 		return errors.New("[federation] without any [partner NAME]")
 	}
-	s.Federation = f
+	s.Federation = federation
 	return nil
 }
 
-func (s *Settings) partner(sec *ini.Section, name, dir string) (*Partner, error) {
-	if !remotelease.IsValidClusterName(name) {
-		return nil, errors.New("a cluster's name is 1 to 20 of a-z, 0-9 and -")
-	}
-	r := &reader{sec: sec, dir: dir}
-	p := &Partner{Name: name, Addresses: r.list("addresses"), Classes: r.list("classes"), Services: r.yes("services"),
-		Lends: r.number("lends", 0, 0, 1), Ratio: r.number("ratio", 2, 1, 1000),
-		Lease: seconds(r.number("lease_s", 0, 0, 3600)), Term: seconds(r.number("term_s", 3600, 1, 3600)),
-		CA: r.file("ca", false), Pins: r.file("pins", false)}
-	if err := r.done(); err != nil {
+// parseFederation reads [federation] without the partners.
+func (s *Settings) parseFederation(section *ini.Section, folder string) (*Federation, error) {
+	r := newSectionReader(section, folder)
+	federation := &Federation{
+		Cluster: r.text("cluster", ""),
+		Listen:  r.text("listen", ""),
+		CA:      r.requiredFile("ca"),
+		Cert:    r.requiredFile("cert"),
+		Key:     r.requiredFile("key"),
+	}
+	if err := r.finish(); err != nil {
 		return nil, err
 	}
-	if len(p.Addresses) == 0 {
-		return nil, errors.New("addresses is missing")
+	if !remotelease.IsValidClusterName(federation.Cluster) {
+		return nil, fmt.Errorf("[federation] cluster: %q must be 1 to 20 of a-z, 0-9 and -", federation.Cluster)
 	}
-	for _, a := range p.Addresses {
-		if !address(a) {
-			return nil, fmt.Errorf("addresses: %q is not HOST:PORT", a)
-		}
+	if strings.HasPrefix(federation.Listen, ":") {
+		host, _, _ := net.SplitHostPort(s.API) // valid: the platform's file was checked
+		federation.Listen = host + federation.Listen
 	}
-	if len(p.Classes) > 0 {
-		if p.Lease <= 0 {
-			return nil, errors.New("lease_s, the lease of its workers, is missing")
-		}
-		// An abort must be over within cancel_s though the partner cannot be told.
-		longest := remotelease.MaxTerm(seconds(s.Deployment.Workers.Cancel), p.Lease, Drift)
-		p.Term = min(p.Term, longest)
-		if least := seconds(2 * s.Deployment.Workers.Report); p.Term < least {
-			return nil, fmt.Errorf("nothing can go there: cancel_s leaves a term of %v beside a lease of %v, at least %v is needed", longest, p.Lease, least)
-		}
+	if !isAddress(federation.Listen) {
+		return nil, fmt.Errorf("[federation] listen: %q must be HOST:PORT or :PORT", federation.Listen)
 	}
-	return p, nil
+	return federation, nil
 }
 
-func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
-
-func address(s string) bool { _, err := net.ResolveTCPAddr("tcp4", s); return s != "" && err == nil }
-
-// reader takes keys of a section and remembers what is wrong.
-type reader struct {
-	sec  *ini.Section
-	dir  string
-	seen map[string]bool
-	err  error
-}
+// Bounds and defaults of a partner's settings; times in seconds.
+const (
+	defaultRatio  = 2
+	maxRatio      = 1000
+	maxLease      = 3600
+	maxRemoteTerm = 3600
+)
 
-func (r *reader) text(key, def string) string {
-	if r.seen == nil {
-		r.seen = map[string]bool{}
+// parsePartner reads a partner's section.
+func (s *Settings) parsePartner(section *ini.Section, name, folder string) (*Partner, error) {
+	if !remotelease.IsValidClusterName(name) {
+		return nil, errors.New("a cluster's name is 1 to 20 of a-z, 0-9 and -")
 	}
-	r.seen[key] = true
-	if !r.sec.HasKey(key) {
-		return def
+	r := newSectionReader(section, folder)
+	partner := &Partner{
+		Name:      name,
+		Addresses: r.list("addresses"),
+		Classes:   r.list("classes"),
+		Services:  r.flag("services"),
+		Lends:     r.number("lends", 0, 0, 1),
+		Ratio:     r.number("ratio", defaultRatio, 1, maxRatio),
+		Lease:     seconds(r.number("lease_s", 0, 0, maxLease)),
+		Term:      seconds(r.number("term_s", maxRemoteTerm, 1, maxRemoteTerm)),
+		CA:        r.optionalFile("ca"),
+		Pins:      r.optionalFile("pins"),
+	}
+	if err := r.finish(); err != nil {
+		return nil, err
 	}
-	return strings.TrimSpace(r.sec.Key(key).String())
-}
-
-func (r *reader) fail(key, why string) {
-	if r.err == nil {
-		r.err = fmt.Errorf("%s: %s", key, why)
+	if len(partner.Addresses) == 0 {
+		return nil, errors.New("addresses is missing")
 	}
-}
-
-func (r *reader) file(key string, must bool) string {
-	v := r.text(key, "")
-	if v == "" {
-		if must {
-			r.fail(key, "is missing")
+	for _, address := range partner.Addresses {
+		if !isAddress(address) {
+			return nil, fmt.Errorf("addresses: %q is not HOST:PORT", address)
 		}
-		return ""
 	}
-	if !filepath.IsAbs(v) {
-		v = filepath.Join(r.dir, v)
+	if len(partner.Classes) == 0 {
+		return partner, nil // nothing goes there
 	}
-	return v
+	return partner, s.limitTerm(partner)
 }
 
-func (r *reader) list(key string) (out []string) {
-	for _, v := range strings.Split(r.text(key, ""), ",") {
-		if v = strings.TrimSpace(v); v != "" {
-			out = append(out, v)
-		}
+// limitTerm shortens a partner's term so that a cancelled job ends there within
+// cancel_s also when the partner cannot be told.
+func (s *Settings) limitTerm(partner *Partner) error {
+	if partner.Lease <= 0 {
+		return errors.New("lease_s, the lease of its workers, is missing")
 	}
-	return out
-}
-
-func (r *reader) yes(key string) bool {
-	switch v := r.text(key, "no"); v {
-	case "yes":
-		return true
-	case "no":
-	default:
-		r.fail(key, strconv.Quote(v)+" must be yes or no")
+	longest := remotelease.MaxTerm(seconds(s.Deployment.Workers.Cancel), partner.Lease, Drift)
+	partner.Term = min(partner.Term, longest)
+	if least := seconds(2 * s.Deployment.Workers.Report); partner.Term < least {
+		return fmt.Errorf("nothing can go there: cancel_s leaves a term of %v beside a lease of %v, at least %v is needed", longest, partner.Lease, least)
 	}
-	return false
+	return nil
 }
 
-func (r *reader) number(key string, def, lo, hi float64) float64 {
-	t := r.text(key, "")
-	if t == "" {
-		return def
-	}
-	v, err := strconv.ParseFloat(t, 64)
-	if err != nil || !(v >= lo && v <= hi) {
-		r.fail(key, fmt.Sprintf("%q must be a number from %v to %v", t, lo, hi))
-		return def
-	}
-	return v
+// seconds converts a number of seconds.
+func seconds(number float64) time.Duration {
+	return time.Duration(number * float64(time.Second))
 }
 
-// done tells what was wrong, unknown keys included.
-func (r *reader) done() error {
-	for _, k := range r.sec.Keys() {
-		if !r.seen[k.Name()] {
-			r.fail(k.Name(), "unknown setting")
-		}
+// isAddress reports whether a text is HOST:PORT with a host that resolves.
+func isAddress(text string) bool {
+	if text == "" {
+		return false
 	}
-	return r.err
+	_, err := net.ResolveTCPAddr("tcp4", text)
+	return err == nil
 }
--- a/internal/settings/federation_test.go
+++ b/internal/settings/federation_test.go
@@ -8,14 +8,53 @@
 	"time"
 )
 
-// The example of deploy/ is read; each mistake in it is told in one line.
-func TestFederation(t *testing.T) {
-	b, err := os.ReadFile("../../deploy/federation.ini")
+// exampleFederation returns the example of deploy/.
+func exampleFederation(t *testing.T) string {
+	t.Helper()
+	text, err := os.ReadFile("../../deploy/federation.ini")
 	if err != nil {
 		t.Fatal(err)
 	}
+	return string(text)
+}
+
+// TestFederationExample checks how the example of deploy/ is read.
+func TestFederationExample(t *testing.T) {
+	file := writeSettings(t, validPlatform, exampleFederation(t))
+	s, err := Load(file, "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	east := s.Federation.Partner("east")
+	if east == nil {
+		t.Fatalf("there is no partner east: %+v", s.Federation)
+	}
+	if s.Federation.Listen != "10.0.0.1:8443" || s.Federation.Cert != filepath.Join(filepath.Dir(file), "keys/cert.pem") {
+		t.Errorf("read as %+v", s.Federation)
+	}
+	if len(east.Addresses) != 3 || east.Lends != 0.2 || east.Services || east.Term != 15*time.Second {
+		t.Errorf("read as %+v", east)
+	}
+	if !east.MayGo("renewal-batch") || east.MayGo("agency-sync") {
+		t.Errorf("classes read as %v", east.Classes)
+	}
+}
+
+// TestTermIsLimited checks that a term longer than a cancellation allows is cut.
+func TestTermIsLimited(t *testing.T) {
+	text := strings.Replace(exampleFederation(t), "term_s = 15", "term_s = 60", 1)
+	s, err := Load(writeSettings(t, validPlatform, text), "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if term := s.Federation.Partner("east").Term; term > 20*time.Second {
+		t.Errorf("a term of 60 s beside cancel_s 34 and lease_s 14 is %v", term)
+	}
+}
+
+// TestInvalidFederation checks that each mistake in the example is refused in one line.
+func TestInvalidFederation(t *testing.T) {
 	for _, c := range []struct{ name, old, now, want string }{
-		{name: "the example"},
 		{"misspelt", "lends = 0.2", "lend = 0.2", "lend: unknown setting"},
 		{"not a share", "lends = 0.2", "lends = 20", "lends"},
 		{"no name", "cluster = west", "cluster = West", "cluster"},
@@ -28,32 +67,12 @@
 		{"a partner alone", "[federation]", "[federations]", "unknown section"},
 		{"yes or no", "services = no", "services = maybe", "must be yes or no"},
 	} {
-		dir := t.TempDir()
-		file, ini := filepath.Join(dir, "s.toml"), filepath.Join(dir, "curlewspool.ini")
-		text := strings.Replace(string(b), c.old, c.now, 1)
-		if os.WriteFile(file, []byte(good), 0o644) != nil || os.WriteFile(ini, []byte(text), 0o644) != nil {
-			t.Fatal("files")
-		}
-		s, err := Load(file, "")
-		if c.want != "" {
+		t.Run(c.name, func(t *testing.T) {
+			text := strings.Replace(exampleFederation(t), c.old, c.now, 1)
+			_, err := Load(writeSettings(t, validPlatform, text), "")
 			if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v, want %q", c.name, err, c.want)
+				t.Errorf("%v, want one line with %q", err, c.want)
 			}
-			continue
-		}
-		if err != nil {
-			t.Fatalf("%s: %v", c.name, err)
-		}
-		p := s.Federation.Partner("east")
-		if s.Federation.Listen != "10.0.0.1:8443" || p == nil || len(p.Addresses) != 3 || !p.MayGo("renewal-batch") || p.MayGo("agency-sync") ||
-			p.Lends != 0.2 || p.Services || p.Term != 15*time.Second || s.Federation.Cert != filepath.Join(dir, "keys/cert.pem") {
-			t.Errorf("%s: read as %+v %+v", c.name, s.Federation, p)
-		}
-		// A longer term than an abort allows is cut.
-		long, _ := os.ReadFile(ini)
-		_ = os.WriteFile(ini, []byte(strings.Replace(string(long), "term_s = 15", "term_s = 60", 1)), 0o644)
-		if s, err = Load(file, ""); err != nil || s.Federation.Partner("east").Term > 20*time.Second {
-			t.Errorf("a term of 60 s beside cancel_s 34 and lease_s 14: %v %v", s.Federation.Partner("east").Term, err)
-		}
+		})
 	}
 }
--- a/internal/settings/next.go
+++ b/internal/settings/nextlimits.go
@@ -11,9 +11,9 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// leastTxnOps is how many changes a transaction must be able to hold: an end or a claim
+// minTransactionOps is how many changes a transaction must be able to hold: an end or a claim
 // takes two keys, and what a roster gives up must find room under another key.
-const leastTxnOps = 4
+const minTransactionOps = 4
 
 // LimitByNext lowers the state service's limits to those that it will have, where they
 // are lower: nobody tells when they come, and a value or transaction that is too large
@@ -45,8 +45,8 @@
 	if next.TxnOps == nil {
 		return nil
 	}
-	if *next.TxnOps < leastTxnOps {
-		return fmt.Errorf("deployment.state.next.txn_ops is %d, must be %d or more", *next.TxnOps, leastTxnOps)
+	if *next.TxnOps < minTransactionOps {
+		return fmt.Errorf("deployment.state.next.txn_ops is %d, must be %d or more", *next.TxnOps, minTransactionOps)
 	}
 	state.TxnOps = min(state.TxnOps, *next.TxnOps)
 	return nil
--- /dev/null
+++ b/internal/settings/operators.go
@@ -0,0 +1,212 @@
+package settings
+
+import (
+	"fmt"
+	"strconv"
+
+	"gopkg.in/ini.v1"
+)
+
+// Operators holds the operators' own settings; tags name the INI section and key.
+type Operators struct {
+	Rank     RankSettings     `ini:"rank"`
+	Score    ScoreSettings    `ini:"score"`
+	Dispatch DispatchSettings `ini:"dispatch"`
+	Rent     RentSettings     `ini:"rent"`
+	Grants   GrantSettings    `ini:"grants"`
+	Blame    BlameSettings    `ini:"blame"`
+}
+
+// RankSettings are for the ranking of jobs by the leader (DESIGN: max and N).
+type RankSettings struct {
+	Max    int `ini:"max"`
+	Window int `ini:"window"`
+}
+
+// ScoreSettings weigh the queue of a shard (DESIGN: WA, WWM, min, max, k).
+type ScoreSettings struct {
+	Aging       float64 `ini:"aging"`
+	Short       float64 `ini:"short"`
+	DeadlineMin float64 `ini:"deadline_min"`
+	DeadlineMax float64 `ini:"deadline_max"`
+	K           float64 `ini:"k"`
+	Priority    float64 `ini:"priority"`
+	Begin       float64 `ini:"begin"`        // seconds within which jobs are to begin
+	BeginWeight float64 `ini:"begin_weight"` // of one that has not
+}
+
+// DispatchSettings say how job arrays are cut into chunks for the shards.
+type DispatchSettings struct {
+	ChunksPerPart float64 `ini:"chunks_per_part"`
+	ChunkMin      int     `ini:"chunk_min"`
+	Anywhere      float64 `ini:"anywhere"`
+}
+
+// RentSettings say when machines are scaled in or given up.
+type RentSettings struct {
+	IdleBoots    float64 `ini:"idle_boots"`     // idle time until scale-in, in boot times
+	OwnIdleBoots float64 `ini:"own_idle_boots"` // the same for machines there at the start
+	LateBoots    float64 `ini:"late_boots"`     // boot times until a machine that does not report is given up
+}
+
+// BlameSettings are the probabilities with which failures are attributed to a job, its
+// machine or chance.
+type BlameSettings struct {
+	Mistaken float64 `ini:"mistaken"`
+	Sick     float64 `ini:"sick"`
+	Accident float64 `ini:"accident"`
+	Hold     float64 `ini:"hold"`
+	Return   float64 `ini:"return"`
+}
+
+// GrantSettings say how long the ownership of a shard lasts, as shares of lease_s.
+type GrantSettings struct {
+	Life   float64 `ini:"life"`
+	Renew  float64 `ini:"renew"`
+	Absent float64 `ini:"absent"`
+	// Vouch lets owners renew workers' leases through an outage of the state service
+	// while every member attests what has been cancelled.
+	Vouch bool `ini:"vouch"`
+}
+
+// Defaults are the values of settings that are not set.
+func Defaults() Operators {
+	return Operators{
+		Rank: RankSettings{
+			Max:    8,
+			Window: 100,
+		},
+		Score: ScoreSettings{
+			Aging:       0.5,
+			Short:       1000,
+			DeadlineMin: 0,
+			DeadlineMax: 500,
+			K:           5,
+			Priority:    3000,
+			Begin:       240,
+			BeginWeight: 12000,
+		},
+		Dispatch: DispatchSettings{
+			ChunksPerPart: 1,
+			ChunkMin:      4,
+			Anywhere:      0.5,
+		},
+		Rent: RentSettings{
+			IdleBoots:    1.5,
+			OwnIdleBoots: 10,
+			LateBoots:    5,
+		},
+		Grants: GrantSettings{
+			Life:   1,
+			Renew:  0.08,
+			Absent: 0.5,
+		},
+		Blame: BlameSettings{
+			Mistaken: 0.02,
+			Sick:     0.005,
+			Accident: 0.001,
+			Hold:     0.9,
+			Return:   0.99,
+		},
+	}
+}
+
+// read sets the settings that a file has and refuses unknown ones. Sections about
+// partners are left to readFederation.
+func (o *Operators) read(file *ini.File) error {
+	// The defaults, written out, are the list of what may be set.
+	known := ini.Empty()
+	defaults := Defaults()
+	if err := known.ReflectFrom(&defaults); err != nil {
+		return err
+	}
+	for _, section := range file.Sections() {
+		if section.Name() == ini.DefaultSection && len(section.Keys()) == 0 {
+			continue
+		}
+		if isFederationSection(section.Name()) {
+			continue
+		}
+		if !known.HasSection(section.Name()) {
+			return fmt.Errorf("unknown section [%s]", section.Name())
+		}
+		if err := checkKeys(section, known.Section(section.Name())); err != nil {
+			return err
+		}
+	}
+	if err := file.StrictMapTo(o); err != nil {
+		return err
+	}
+	return o.check()
+}
+
+// checkKeys refuses keys that the section of the defaults does not have, and values
+// that are not of the default's kind: a flag or a number.
+func checkKeys(section, defaults *ini.Section) error {
+	for _, key := range section.Keys() {
+		if !defaults.HasKey(key.Name()) {
+			return fmt.Errorf("unknown setting %s in [%s]", key.Name(), section.Name())
+		}
+		if isFlag(defaults.Key(key.Name())) {
+			if _, err := key.Bool(); err != nil {
+				return fmt.Errorf("[%s] %s: %q must be yes or no", section.Name(), key.Name(), key.String())
+			}
+			continue
+		}
+		if _, err := key.Float64(); err != nil {
+			return fmt.Errorf("[%s] %s: %q is not a number", section.Name(), key.Name(), key.String())
+		}
+	}
+	return nil
+}
+
+// isFlag reports whether a default, as written out, is true or false.
+func isFlag(key *ini.Key) bool {
+	return key.String() == strconv.FormatBool(true) || key.String() == strconv.FormatBool(false)
+}
+
+// allowedRange is the range of values of a setting.
+type allowedRange struct {
+	name        string // section and key
+	value       float64
+	least, most float64
+}
+
+// check refuses the first setting that is out of its range.
+func (o *Operators) check() error {
+	for _, setting := range o.allowedRanges() {
+		if !(setting.value >= setting.least && setting.value <= setting.most) { // refuses NaN, too
+			return fmt.Errorf("%s is %v, must be from %v to %v", setting.name, setting.value, setting.least, setting.most)
+		}
+	}
+	return nil
+}
+
+func (o *Operators) allowedRanges() []allowedRange {
+	return []allowedRange{
+		{"[rank] max", float64(o.Rank.Max), 1, 30},
+		{"[rank] window", float64(o.Rank.Window), 1, 100000},
+		{"[score] aging", o.Score.Aging, 0, 1e6},
+		{"[score] short", o.Score.Short, 0, 1e6},
+		{"[score] deadline_min", o.Score.DeadlineMin, 0, 1e6},
+		{"[score] deadline_max", o.Score.DeadlineMax, o.Score.DeadlineMin, 1e6},
+		{"[score] k", o.Score.K, 0, 100},
+		{"[score] priority", o.Score.Priority, 0, 1e9},
+		{"[score] begin", o.Score.Begin, 1, 1e6},
+		{"[score] begin_weight", o.Score.BeginWeight, 0, 1e9},
+		{"[dispatch] chunks_per_part", o.Dispatch.ChunksPerPart, 0.1, 8},
+		{"[dispatch] anywhere", o.Dispatch.Anywhere, 0, 1e6},
+		{"[dispatch] chunk_min", float64(o.Dispatch.ChunkMin), 1, 100000},
+		{"[rent] idle_boots", o.Rent.IdleBoots, 0, 1000},
+		{"[rent] late_boots", o.Rent.LateBoots, 1.5, 1000},
+		{"[rent] own_idle_boots", o.Rent.OwnIdleBoots, 0, 10000},
+		{"[grants] life", o.Grants.Life, 0.2, 1},
+		{"[grants] renew", o.Grants.Renew, 0.01, 0.3},
+		{"[grants] absent", o.Grants.Absent, 0.05, 1},
+		{"[blame] mistaken", o.Blame.Mistaken, 1e-6, 0.5},
+		{"[blame] sick", o.Blame.Sick, 1e-6, 0.5},
+		{"[blame] accident", o.Blame.Accident, 1e-6, 0.5},
+		{"[blame] hold", o.Blame.Hold, 0.5, 0.999999},
+		{"[blame] return", o.Blame.Return, 0.5, 0.999999},
+	}
+}
--- /dev/null
+++ b/internal/settings/platform.go
@@ -0,0 +1,189 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"sort"
+	"strings"
+)
+
+// Member is another controller of the cluster.
+type Member struct {
+	Name    string `toml:"host_name"`
+	Zone    string `toml:"area"`
+	Address string `toml:"address"`
+}
+
+// Team has a quota: what it is guaranteed and a limit; 0 means none.
+type Team struct {
+	Name     string  `toml:"name"`
+	Cores    float64 `toml:"cpus"`
+	CoresMax float64 `toml:"cpus_max"`
+	GPUs     float64 `toml:"gpus"`
+	GPUsMax  float64 `toml:"gpus_max"`
+}
+
+// Limited reports whether the team has a limit.
+func (t *Team) Limited() bool { return t.CoresMax > 0 || t.GPUsMax > 0 }
+
+// ObjectiveKind is what a service-level objective is on.
+type ObjectiveKind string
+
+// Kinds of service-level objectives.
+const (
+	ObjectiveWait     ObjectiveKind = "wait"     // the time until a job starts
+	ObjectiveFinished ObjectiveKind = "finished" // the time until a job is done
+)
+
+// Objective is a service-level objective of a job class.
+type Objective struct {
+	Kind   ObjectiveKind `toml:"kind"`
+	Class  string        `toml:"class"`
+	Within float64       `toml:"within_s"`
+	Share  float64       `toml:"share"`
+	Times  float64       `toml:"times"`
+}
+
+// Platform is the file that the platform hands to a controller. Unknown fields are
+// ignored. Times are in seconds unless a name says otherwise.
+type Platform struct {
+	Name     string   `toml:"host_name"`
+	Zone     string   `toml:"area"`
+	API      string   `toml:"api_addr"`
+	Mesh     string   `toml:"mesh_addr"`
+	Members  []Member `toml:"members"`
+	Services struct {
+		Cloud string `toml:"cloud"`
+		State string `toml:"state"`
+	} `toml:"endpoints"`
+	Deployment struct {
+		Nodes      int         `toml:"nodes"`
+		Zones      []string    `toml:"zones"`
+		SkewMs     float64     `toml:"skew_ms"`
+		Teams      []Team      `toml:"teams"`
+		Objectives []Objective `toml:"objectives"`
+		Workers    struct {
+			Report   float64 `toml:"report_s"`
+			Lease    float64 `toml:"lease_s"`
+			GangWait float64 `toml:"gang_wait_s"`
+			GangPeer float64 `toml:"gang_peer_s"`
+			Cancel   float64 `toml:"cancel_s"`
+		} `toml:"workers"`
+		State struct {
+			RPS      float64 `toml:"rps"`
+			WriteRPS float64 `toml:"write_rps"`
+			ValueKB  float64 `toml:"value_kb"`
+			TxnOps   int     `toml:"txn_ops"`
+			// Next are limits that the state service will have from some moment on; nil: none.
+			Next *NextLimits `toml:"next"`
+		} `toml:"state"`
+		Cloud struct {
+			RPS     float64 `toml:"rps"`
+			ListLag float64 `toml:"list_lag_s"`
+		} `toml:"cloud"`
+		Limits struct {
+			CoreShare float64 `toml:"core_share"`
+			RAM       float64 `toml:"ram_mb"`
+			Sockets   int     `toml:"sockets"`
+		} `toml:"machine_limits"`
+	} `toml:"deployment"`
+}
+
+// requirements collects the names of settings that are missing or invalid.
+type requirements struct{ missing []string }
+
+// require notes the name unless the setting is valid.
+func (r *requirements) require(isValid bool, name string) {
+	if !isValid {
+		r.missing = append(r.missing, name)
+	}
+}
+
+// check reports all settings that are missing or invalid in one error.
+func (p *Platform) check() error {
+	r := &requirements{}
+	p.checkAddresses(r)
+	p.checkDeployment(r)
+	if len(r.missing) > 0 {
+		return errors.New("missing or invalid: " + strings.Join(r.missing, ", "))
+	}
+	return nil
+}
+
+// checkAddresses checks the controller's own names and addresses and those of others.
+func (p *Platform) checkAddresses(r *requirements) {
+	r.require(p.Name != "", "host_name")
+	r.require(p.Zone != "", "area")
+	r.require(isAddress(p.API), "api_addr")
+	r.require(isAddress(p.Mesh), "mesh_addr")
+	r.require(isAddress(p.Services.Cloud), "endpoints.cloud")
+	r.require(isAddress(p.Services.State), "endpoints.state")
+	seen := map[string]bool{p.Name: true}
+	for i, member := range p.Members {
+		isValid := member.Name != "" && isAddress(member.Address) && !seen[member.Name]
+		r.require(isValid, fmt.Sprintf("members[%d]", i))
+		seen[member.Name] = true
+	}
+}
+
+// checkDeployment checks the limits and times of the deployment.
+func (p *Platform) checkDeployment(r *requirements) {
+	d := &p.Deployment
+	r.require(len(d.Zones) > 0, "deployment.zones")
+	for i, team := range d.Teams {
+		isValid := team.Name != "" && team.Cores >= 0 && team.CoresMax >= 0 && team.GPUs >= 0 && team.GPUsMax >= 0
+		r.require(isValid, fmt.Sprintf("deployment.teams[%d]", i))
+	}
+	r.require(d.Workers.Report > 0, "deployment.workers.report_s")
+	r.require(d.Workers.Lease > d.Workers.Report, "deployment.workers.lease_s")
+	r.require(d.Workers.GangWait > 0, "deployment.workers.gang_wait_s")
+	r.require(d.Workers.GangPeer > 0, "deployment.workers.gang_peer_s")
+	r.require(d.Workers.Cancel > d.Workers.Lease, "deployment.workers.cancel_s")
+	r.require(d.State.RPS > 0, "deployment.state.rps")
+	r.require(d.State.WriteRPS > 0, "deployment.state.write_rps")
+	r.require(d.State.ValueKB > 0, "deployment.state.value_kb")
+	r.require(d.State.TxnOps >= minTransactionOps, "deployment.state.txn_ops")
+	r.require(d.Cloud.RPS > 0, "deployment.cloud.rps")
+	r.require(d.Cloud.ListLag >= 0, "deployment.cloud.list_lag_s")
+	r.require(d.Limits.RAM > 0, "deployment.machine_limits.ram_mb")
+	r.require(d.Limits.CoreShare > 0, "deployment.machine_limits.core_share")
+	r.require(d.Limits.Sockets > 0, "deployment.machine_limits.sockets")
+}
+
+// MostRecord is the largest record of a job that is stored when it is accepted, in
+// bytes: the rest of a value is left for what is added to the record later.
+func (p *Platform) MostRecord() int { return int(p.Deployment.State.ValueKB*1024) * 3 / 4 }
+
+// Names lists all controllers of the cluster in order of name; there are as many
+// shards.
+func (p *Platform) Names() []string {
+	names := []string{p.Name}
+	for _, member := range p.Members {
+		names = append(names, member.Name)
+	}
+	sort.Strings(names)
+	return names
+}
+
+// Deadlines lists the times within which the objectives expect jobs of a class to be
+// done, in seconds after submission, in rising order.
+func (p *Platform) Deadlines(class string) []float64 {
+	var deadlines []float64
+	for _, objective := range p.Deployment.Objectives {
+		if objective.Class == class && objective.Kind == ObjectiveFinished && objective.Within > 0 {
+			deadlines = append(deadlines, objective.Within)
+		}
+	}
+	sort.Float64s(deadlines)
+	return deadlines
+}
+
+// Team returns the team of a name, or nil.
+func (p *Platform) Team(name string) *Team {
+	for i := range p.Deployment.Teams {
+		if p.Deployment.Teams[i].Name == name {
+			return &p.Deployment.Teams[i]
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/settings/sectionreader.go
@@ -0,0 +1,104 @@
+package settings
+
+import (
+	"fmt"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"gopkg.in/ini.v1"
+)
+
+// sectionReader reads the keys of an INI section and remembers the first problem, so
+// that callers check once, with finish.
+type sectionReader struct {
+	section *ini.Section
+	folder  string // of files with relative paths
+	read    map[string]bool
+	err     error
+}
+
+func newSectionReader(section *ini.Section, folder string) *sectionReader {
+	return &sectionReader{section: section, folder: folder, read: map[string]bool{}}
+}
+
+// fail remembers a problem with a key, unless there was one before.
+func (r *sectionReader) fail(key, reason string) {
+	if r.err == nil {
+		r.err = fmt.Errorf("%s: %s", key, reason)
+	}
+}
+
+// finish returns the first problem; a key that was not read is one, too.
+func (r *sectionReader) finish() error {
+	for _, key := range r.section.Keys() {
+		if !r.read[key.Name()] {
+			r.fail(key.Name(), "unknown setting")
+		}
+	}
+	return r.err
+}
+
+// text returns a key's value, or the fallback without the key.
+func (r *sectionReader) text(key, fallback string) string {
+	r.read[key] = true
+	if !r.section.HasKey(key) {
+		return fallback
+	}
+	return strings.TrimSpace(r.section.Key(key).String())
+}
+
+// requiredFile returns the path of a file; the key must be there.
+func (r *sectionReader) requiredFile(key string) string {
+	path := r.optionalFile(key)
+	if path == "" {
+		r.fail(key, "is missing")
+	}
+	return path
+}
+
+// optionalFile returns the path of a file, or "" without the key.
+func (r *sectionReader) optionalFile(key string) string {
+	path := r.text(key, "")
+	if path == "" || filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(r.folder, path)
+}
+
+// list returns the elements of a list with commas; empty ones are left out.
+func (r *sectionReader) list(key string) []string {
+	var elements []string
+	for _, element := range strings.Split(r.text(key, ""), ",") {
+		if element = strings.TrimSpace(element); element != "" {
+			elements = append(elements, element)
+		}
+	}
+	return elements
+}
+
+// flag returns whether a key is yes; without the key it is not.
+func (r *sectionReader) flag(key string) bool {
+	switch value := r.text(key, "no"); value {
+	case "yes":
+		return true
+	case "no":
+	default:
+		r.fail(key, strconv.Quote(value)+" must be yes or no")
+	}
+	return false
+}
+
+// number returns a number from least to most, or the fallback without the key.
+func (r *sectionReader) number(key string, fallback, least, most float64) float64 {
+	text := r.text(key, "")
+	if text == "" {
+		return fallback
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || !(number >= least && number <= most) { // refuses NaN, too
+		r.fail(key, fmt.Sprintf("%q must be a number from %v to %v", text, least, most))
+		return fallback
+	}
+	return number
+}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-const good = `host_name = "n0"
+// validPlatform is a platform's file that is accepted, with a field that is ignored.
+const validPlatform = `host_name = "n0"
 area = "a"
 api_addr = "10.0.0.1:8080"
 mesh_addr = "10.0.0.1:8081"
@@ -43,41 +44,69 @@
 sockets = 800
 `
 
+// writeSettings writes a platform's file and, beside it, the operators' one, and returns
+// the path of the first.
+func writeSettings(t *testing.T, platform, operators string) string {
+	t.Helper()
+	folder := t.TempDir()
+	file := filepath.Join(folder, "platform.toml")
+	for name, text := range map[string]string{
+		file:                                    platform,
+		filepath.Join(folder, operatorFileName): operators,
+	} {
+		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return file
+}
+
+// TestLoad checks both files, and that each mistake in them is refused with its name.
 func TestLoad(t *testing.T) {
 	for _, c := range []struct{ name, old, now, ini, want string }{
-		{name: "good, unknown fields ignored"},
 		{name: "missing", old: `area = "a"` + "\n", want: "missing or invalid: area"},
 		{name: "wrong type", old: "lease_s = 14.0", now: `lease_s = "x"`, want: "lease_s"},
 		{name: "lease longer than a cancellation", old: "cancel_s = 34.0", now: "cancel_s = 3.0", want: "cancel_s"},
 		{name: "a cancellation as long as a lease", old: "cancel_s = 34.0", now: "cancel_s = 14.0", want: "cancel_s"},
 		{name: "no room for a grant", old: "cancel_s = 34.0", now: "cancel_s = 14.1", want: "deployment.workers.cancel_s is 14.1, must be"},
-		{name: "ini", ini: "[score]\naging = 2\n[rank]\nmax = 5\n"},
 		{name: "misspelt key", ini: "[score]\nageing = 2\n", want: "unknown setting ageing in [score]"},
 		{name: "misspelt section", ini: "[scores]\naging = 2\n", want: "unknown section [scores]"},
 		{name: "not a number", ini: "[score]\naging = much\n", want: `"much" is not a number`},
 		{name: "out of range", ini: "[grants]\nlife = 3\n", want: "[grants] life is 3"},
 	} {
-		dir := t.TempDir()
-		file := filepath.Join(dir, "s.toml")
-		if err := os.WriteFile(file, []byte(strings.Replace(good, c.old, c.now, 1)), 0o600); err != nil {
+		t.Run(c.name, func(t *testing.T) {
+			platform := strings.Replace(validPlatform, c.old, c.now, 1)
+			if _, err := Load(writeSettings(t, platform, c.ini), ""); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("error %v, want one with %q", err, c.want)
+			}
+		})
+	}
+	t.Run("unknown fields are ignored", func(t *testing.T) {
+		if _, err := Load(writeSettings(t, validPlatform, ""), ""); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Run("without an operators' file", func(t *testing.T) {
+		file := writeSettings(t, validPlatform, "")
+		if err := os.Remove(filepath.Join(filepath.Dir(file), operatorFileName)); err != nil {
 			t.Fatal(err)
 		}
-		if c.ini != "" {
-			if err := os.WriteFile(filepath.Join(dir, "curlewspool.ini"), []byte(c.ini), 0o600); err != nil {
-				t.Fatal(err)
-			}
+		if s, err := Load(file, ""); err != nil || s.Operators != Defaults() {
+			t.Errorf("%+v, %v", s, err)
 		}
-		s, err := Load(file, "")
-		switch {
-		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", c.name, err)
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s: error %v, want one with %q", c.name, err, c.want)
-		case c.name == "ini" && (s.Score.Aging != 2 || s.Rank.Max != 5 || s.Rank.Window != Defaults().Rank.Window):
-			t.Errorf("ini: %+v", s.Operators)
+	})
+	t.Run("operators' settings", func(t *testing.T) {
+		s, err := Load(writeSettings(t, validPlatform, "[score]\naging = 2\n[rank]\nmax = 5\n"), "")
+		if err != nil {
+			t.Fatal(err)
 		}
-	}
-	if _, err := Load("/nonexistent", ""); err == nil {
-		t.Error("an unreadable file was accepted")
-	}
+		if s.Score.Aging != 2 || s.Rank.Max != 5 || s.Rank.Window != Defaults().Rank.Window {
+			t.Errorf("%+v", s.Operators)
+		}
+	})
+	t.Run("unreadable file", func(t *testing.T) {
+		if _, err := Load("/nonexistent", ""); err == nil {
+			t.Error("was accepted")
+		}
+	})
 }
