--- a/cmd/curlewctl/main_test.go
+++ b/cmd/curlewctl/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// run gives what a command prints, and its error.
+// run executes a command and returns its output and its error, "" for none.
 func run(args ...string) (string, string) {
 	c := rootCommand()
 	var out, errs bytes.Buffer
@@ -22,7 +22,8 @@
 	return out.String(), ""
 }
 
-// Bad input ends with one clear line, before anything is started or asked.
+// TestBadInput checks that bad input ends with one clear line, before anything is started
+// or asked.
 func TestBadInput(t *testing.T) {
 	t.Setenv("CURLEW_TO", "")
 	for _, c := range []struct{ args, want string }{
@@ -50,58 +51,74 @@
 		{"nomad run x", "unknown command"},
 		{"keys make", "unknown command"},
 	} {
-		args := strings.Fields(c.args)
-		if args[0] == "dev" {
-			args = append(args, "--program", os.Args[0], "--dir", t.TempDir())
-		}
-		if _, err := run(args...); !strings.Contains(err, c.want) || strings.Contains(err, "\n") {
-			t.Errorf("%s: %q, want %q", c.args, err, c.want)
-		}
+		t.Run(c.args, func(t *testing.T) {
+			args := strings.Fields(c.args)
+			if args[0] == "dev" {
+				args = append(args, "--program", os.Args[0], "--dir", t.TempDir())
+			}
+			if _, err := run(args...); !strings.Contains(err, c.want) || strings.Contains(err, "\n") {
+				t.Errorf("%q, want %q", err, c.want)
+			}
+		})
 	}
 }
 
-// Who waits for a cluster that does not answer is told so meanwhile.
-func TestWaitingIsTold(t *testing.T) {
-	c := rootCommand()
-	var errs bytes.Buffer
-	c.SetErr(&errs)
-	c.SetOut(&errs)
-	c.SetArgs([]string{"status", "--to", "127.0.0.1:1", "--patience", "1500ms", "wk-000001"})
-	if err := c.Execute(); err == nil || !strings.Contains(err.Error(), "given up after 1.5s: no answer from 127.0.0.1:1") {
+// TestRetriesAreReported checks that a command that waits for a cluster reports why.
+func TestRetriesAreReported(t *testing.T) {
+	command := rootCommand()
+	var output bytes.Buffer
+	command.SetErr(&output)
+	command.SetOut(&output)
+	command.SetArgs([]string{"status", "--to", "127.0.0.1:1", "--patience", "1500ms", "wk-000001"})
+	if err := command.Execute(); err == nil || !strings.Contains(err.Error(), "given up after 1.5s: no answer from 127.0.0.1:1") {
 		t.Errorf("ended with %v", err)
 	}
-	if !strings.Contains(errs.String(), "no answer from 127.0.0.1:1; asking again") {
-		t.Errorf("nothing was said meanwhile: %q", errs.String())
+	if !strings.Contains(output.String(), "no answer from 127.0.0.1:1; asking again") {
+		t.Errorf("nothing was reported meanwhile: %q", output.String())
 	}
 }
 
-// Keys are made, shown, and not overwritten; what machines saw is judged, and a
-// refused file is told with its reasons, for people and as JSON.
-func TestCommands(t *testing.T) {
+// TestKeys checks that certificates are made, renewed and shown, and that an authority is
+// not overwritten.
+func TestKeys(t *testing.T) {
 	dir := t.TempDir()
-	ca, own := filepath.Join(dir, "ca"), filepath.Join(dir, "west")
-	for _, args := range [][]string{{"keys", "ca", "--dir", ca}, {"keys", "cert", "--ca", ca, "--dir", own, "--cluster", "west"}, {"keys", "cert", "--ca", ca, "--dir", own, "--cluster", "west"}} {
+	authority, own := filepath.Join(dir, "ca"), filepath.Join(dir, "west")
+	makeCertificate := []string{"keys", "cert", "--ca", authority, "--dir", own, "--cluster", "west"}
+	for _, args := range [][]string{
+		{"keys", "ca", "--dir", authority},
+		makeCertificate,
+		makeCertificate, // a renewal
+	} {
 		if _, err := run(args...); err != "" {
 			t.Fatalf("%v: %s", args, err)
 		}
 	}
-	if _, err := run("keys", "ca", "--dir", ca); !strings.Contains(err, "is there already") {
+	if _, err := run("keys", "ca", "--dir", authority); !strings.Contains(err, "is there already") {
 		t.Errorf("an authority was replaced: %q", err)
 	}
 	if out, err := run("keys", "show", filepath.Join(own, "cert.pem")); err != "" || !strings.HasPrefix(out, "west until ") {
 		t.Errorf("%q %s", out, err)
 	}
-	file := filepath.Join(dir, "machines.jsonl")
-	lines := `{"at":1,"machine":"i-1","task":"wk-1/0","try":1,"what":"start"}` + "\n" + `{"at":2,"machine":"i-2","task":"wk-1/0","try":2,"what":"start"}` + "\n"
+}
+
+// TestAuditFindsViolation checks that a task that started in two places is found.
+func TestAuditFindsViolation(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "machines.jsonl")
+	lines := `{"at":1,"machine":"i-1","task":"wk-1/0","try":1,"what":"start"}` + "\n" +
+		`{"at":2,"machine":"i-2","task":"wk-1/0","try":2,"what":"start"}` + "\n"
 	if err := os.WriteFile(file, []byte(lines), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := run("audit", file); !strings.Contains(out, "WRONG at 2.000 wk-1/0 starts on i-2 while it is on i-1") || err == "" {
 		t.Errorf("%q %s", out, err)
 	}
+}
+
+// TestNomadProblemsAsJSON checks that the problems of a refused file are printed as JSON.
+func TestNomadProblemsAsJSON(t *testing.T) {
 	out, err := run("nomad", "validate", "--json", "../../internal/nomad/testdata/refused/one-of-many.nomad")
-	var got struct{ Problems []string }
-	if json.Unmarshal([]byte(out), &got) != nil || len(got.Problems) != 1 || err != "refused for 1 reasons" {
+	var printed struct{ Problems []string }
+	if json.Unmarshal([]byte(out), &printed) != nil || len(printed.Problems) != 1 || err != "refused for 1 reasons" {
 		t.Errorf("%q %s", out, err)
 	}
 }
--- a/internal/nomad/group.go
+++ b/internal/nomad/group.go
@@ -92,7 +92,7 @@
 	team := c.team()
 	estimate := c.estimate(defaults.shape)
 	checkpointInterval := c.metaAmount(metaCheckpoint, c.classRules.Checkpoint, "checkpoint interval")
-	imageGB := c.metaAmount(metaImageGB, c.classRules.ImageGb, "image size")
+	imageGB := c.metaAmount(metaImageGB, c.classRules.ImageGB, "image size")
 	allowSpot := c.allowsSpot()
 	shape := c.shapeOf(defaults.shape)
 	singleZone := c.metaFlag(metaOneZone)
--- a/internal/nomad/nomad_test.go
+++ b/internal/nomad/nomad_test.go
@@ -31,7 +31,7 @@
 
 func testRules() Rules {
 	r := DefaultRules()
-	r.Classes["scan"] = Class{Estimate: 20, ImageGb: 0.9, Spot: true}
+	r.Classes["scan"] = Class{Estimate: 20, ImageGB: 0.9, Spot: true}
 	return r
 }
 
--- a/internal/nomad/rules.go
+++ b/internal/nomad/rules.go
@@ -21,12 +21,12 @@
 type Class struct {
 	Estimate   float64 // run time of a task, seconds
 	Checkpoint float64 // seconds of progress between checkpoints
-	ImageGb    float64
+	ImageGB    float64
 	Spot       bool // may use spot machines
 }
 
-// defaultImageGb is the size of an image of which nothing is known.
-const defaultImageGb = 0.5
+// defaultImageGB is the size of an image of which nothing is known.
+const defaultImageGB = 0.5
 
 // DefaultRules are those of a tool without a rules file.
 func DefaultRules() Rules {
@@ -34,7 +34,7 @@
 		MHz:     2500,
 		Team:    "red",
 		Class:   "nomad",
-		Classes: map[string]Class{"nomad": {Estimate: 60, ImageGb: defaultImageGb}},
+		Classes: map[string]Class{"nomad": {Estimate: 60, ImageGB: defaultImageGB}},
 	}
 }
 
@@ -81,7 +81,7 @@
 	if !isClass || name == "" {
 		return fmt.Errorf("unknown section [%s]", section.Name())
 	}
-	class := Class{ImageGb: defaultImageGb}
+	class := Class{ImageGB: defaultImageGB}
 	if err := readKeys(section, class.setters(section.Name())); err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	return map[string]ruleSetter{
 		"estimate_s":   amountSetter(section, &c.Estimate, 0),
 		"checkpoint_s": amountSetter(section, &c.Checkpoint, 0),
-		"image_gb":     amountSetter(section, &c.ImageGb, 0),
+		"image_gb":     amountSetter(section, &c.ImageGB, 0),
 		"spot":         flagSetter(section, &c.Spot),
 	}
 }
--- a/internal/settings/cancelbound.go
+++ b/internal/settings/cancelbound.go
@@ -64,11 +64,11 @@
 	}
 }
 
-// checkCancelBound refuses settings under which no life of ownership is both short
+// cancelBound refuses settings under which no life of ownership is both short
 // enough for the bound and long enough to be renewed. The error names what stands in
 // the way and from which value on it no longer does: cancel_s, the life set by the
 // operators, or the state service's requests.
-func (s *Settings) checkCancelBound() error {
+func (s *Settings) cancelBound() error {
 	workers, rps := &s.Deployment.Workers, s.Deployment.State.RPS
 	minLife := minRenewalsPerLife * s.minRenewalInterval()
 	switch ownLife := workers.Lease * s.Grants.Life; {
--- a/internal/settings/cancelbound_test.go
+++ b/internal/settings/cancelbound_test.go
@@ -38,7 +38,7 @@
 // 2.5 s, four controllers and 20 requests a second, which no cancel_s mends.)
 func mendSettings(t *rapid.T, s *Settings, refused map[string]int) {
 	refusals := 0
-	for err := s.checkCancelBound(); err != nil; err = s.checkCancelBound() {
+	for err := s.cancelBound(); err != nil; err = s.cancelBound() {
 		name, setting := refusedSetting(s, err)
 		if name == "" || strings.Contains(err.Error(), "\n") {
 			t.Fatalf("not one clear line: %q", err)
@@ -48,7 +48,7 @@
 			t.Fatalf("is %v already: %v", current, err)
 		}
 		*setting = least - 0.002
-		if tooSmall := s.checkCancelBound(); tooSmall == nil || !strings.HasPrefix(tooSmall.Error(), name) {
+		if tooSmall := s.cancelBound(); tooSmall == nil || !strings.HasPrefix(tooSmall.Error(), name) {
 			t.Fatalf("%v would do, %v is asked for: %v", *setting, least, err)
 		}
 		*setting = least
--- a/internal/settings/nextlimits.go
+++ b/internal/settings/nextlimits.go
@@ -11,14 +11,15 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// minTransactionOps is how many changes a transaction must be able to hold: an end or a claim
-// takes two keys, and what a roster gives up must find room under another key.
+// minTransactionOps is how many mutations a transaction must be able to hold: the end of
+// a task or a claim takes two keys, and what is removed from a roster must find room under
+// another key.
 const minTransactionOps = 4
 
 // LimitByNext lowers the state service's limits to those that it will have, where they
-// are lower: nobody tells when they come, and a value or transaction that is too large
-// by then is refused for good. (The rate, too: a transaction that is refused for want of
-// changes waits for as long as all that are queued behind it.)
+// are lower: they come without notice, and a value or transaction that is too large by
+// then is refused for good. (The rate, too: a transaction that is refused by the rate
+// limit delays all that are queued behind it.)
 func (p *Platform) LimitByNext() error {
 	state := &p.Deployment.State
 	next := state.Next
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -17,53 +17,54 @@
 	Blame    BlameSettings    `ini:"blame"`
 }
 
-// RankSettings are for the ranking of jobs by the leader (DESIGN: max and N).
+// RankSettings are for the ranking of jobs by the leader.
 type RankSettings struct {
-	Max    int `ini:"max"`
-	Window int `ini:"window"`
+	Max    int `ini:"max"`    // highest rank (DESIGN: max)
+	Window int `ini:"window"` // margins remembered (DESIGN: N)
 }
 
 // ScoreSettings weigh the queue of a shard (DESIGN: WA, WWM, min, max, k).
 type ScoreSettings struct {
-	Aging       float64 `ini:"aging"`
-	Short       float64 `ini:"short"`
-	DeadlineMin float64 `ini:"deadline_min"`
-	DeadlineMax float64 `ini:"deadline_max"`
-	K           float64 `ini:"k"`
-	Priority    float64 `ini:"priority"`
+	Aging       float64 `ini:"aging"`        // points for a second of age
+	Short       float64 `ini:"short"`        // weight of the shortest estimate over the job's own
+	DeadlineMin float64 `ini:"deadline_min"` // points far from the deadline
+	DeadlineMax float64 `ini:"deadline_max"` // points at the deadline
+	K           float64 `ini:"k"`            // estimates before the deadline at which the points start to rise
+	Priority    float64 `ini:"priority"`     // points for a step of the user's priority
 	Begin       float64 `ini:"begin"`        // seconds within which jobs are to begin
-	BeginWeight float64 `ini:"begin_weight"` // of one that has not
+	BeginWeight float64 `ini:"begin_weight"` // points of a job that has not begun, from a quarter to a half of that time
 }
 
-// DispatchSettings say how job arrays are cut into chunks for the shards.
+// DispatchSettings say how jobs are given to the shards.
 type DispatchSettings struct {
-	ChunksPerPart float64 `ini:"chunks_per_part"`
-	ChunkMin      int     `ini:"chunk_min"`
-	Anywhere      float64 `ini:"anywhere"`
+	ChunksPerPart float64 `ini:"chunks_per_part"` // chunks of a job array, for each shard
+	ChunkMin      int     `ini:"chunk_min"`       // least tasks of a chunk
+	// Anywhere is the backlog of writes, in seconds of the write budget, from which on
+	// a job of one task is recorded as being anywhere in its shard; 0: always.
+	Anywhere float64 `ini:"anywhere"`
 }
 
-// RentSettings say when machines are scaled in or given up.
+// RentSettings say when machines are scaled in or given up, in boot times.
 type RentSettings struct {
-	IdleBoots    float64 `ini:"idle_boots"`     // idle time until scale-in, in boot times
-	OwnIdleBoots float64 `ini:"own_idle_boots"` // the same for machines there at the start
-	LateBoots    float64 `ini:"late_boots"`     // boot times until a machine that does not report is given up
+	IdleBoots    float64 `ini:"idle_boots"`     // idle time until scale-in
+	OwnIdleBoots float64 `ini:"own_idle_boots"` // the same for machines that were there at the start
+	LateBoots    float64 `ini:"late_boots"`     // time after which a machine that still boots is given up
 }
 
-// BlameSettings are the probabilities with which failures are attributed to a job, its
-// machine or chance.
+// BlameSettings are probabilities for the attribution of failures (package faults).
 type BlameSettings struct {
-	Mistaken float64 `ini:"mistaken"`
-	Sick     float64 `ini:"sick"`
-	Accident float64 `ini:"accident"`
-	Hold     float64 `ini:"hold"`
-	Return   float64 `ini:"return"`
+	Mistaken float64 `ini:"mistaken"` // prior: share of jobs that are faulty
+	Sick     float64 `ini:"sick"`     // prior: share of machines that are faulty
+	Accident float64 `ini:"accident"` // prior: share of tasks that fail for no lasting reason
+	Hold     float64 `ini:"hold"`     // from which on a faulty job has one task tried at a time
+	Return   float64 `ini:"return"`   // from which on a faulty machine is returned
 }
 
-// GrantSettings say how long the ownership of a shard lasts, as shares of lease_s.
+// GrantSettings say how long the ownership of a shard lasts.
 type GrantSettings struct {
-	Life   float64 `ini:"life"`
-	Renew  float64 `ini:"renew"`
-	Absent float64 `ini:"absent"`
+	Life   float64 `ini:"life"`   // of a controller's store lease, as a share of lease_s
+	Renew  float64 `ini:"renew"`  // renewal interval, as a share of the store lease's life
+	Absent float64 `ini:"absent"` // silence after which a controller is replaced, as a share of lease_s
 	// Vouch lets owners renew workers' leases through an outage of the state service
 	// while every member attests what has been cancelled.
 	Vouch bool `ini:"vouch"`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -65,7 +65,7 @@
 		}
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	for _, check := range []func() error{s.Platform.check, s.LimitByNext, s.checkCancelBound} {
+	for _, check := range []func() error{s.Platform.check, s.LimitByNext, s.cancelBound} {
 		if err := check(); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
