--- a/internal/simulator/dependency_scenarios_test.go
+++ b/internal/simulator/dependency_scenarios_test.go
@@ -79,7 +79,8 @@
 
 // Jobs that need others, each day short enough to be read.
 func TestDependencyScenarios(t *testing.T) {
-	runScenarios(t, "dependency-", 3100, 160, 60, nil, dependencyScenarios)
+	set := &scenarioSet{prefix: "dependency-", firstSeed: 3100, end: 160, faultsOver: 60, scenarios: dependencyScenarios}
+	set.run(t)
 }
 
 // pipelineTroubles are what a pipeline is to go through, from a moment on.
--- a/internal/simulator/more_overlapping_faults_test.go
+++ b/internal/simulator/more_overlapping_faults_test.go
@@ -203,5 +203,6 @@
 
 // All is done or cancelled in the end, no rule breaks, nothing is forgotten.
 func TestMoreCombinedFaultScenarios(t *testing.T) {
-	runScenarios(t, "combined-", 780, 260, 150, nil, moreCombinedFaultScenarios)
+	set := &scenarioSet{prefix: "combined-", firstSeed: 780, end: 260, faultsOver: 150, scenarios: moreCombinedFaultScenarios}
+	set.run(t)
 }
--- a/internal/simulator/overlapping_faults_test.go
+++ b/internal/simulator/overlapping_faults_test.go
@@ -259,5 +259,6 @@
 // Each combination once, short enough to be read. All is done or cancelled in the end, no
 // rule breaks, nothing is forgotten.
 func TestCombinedFaultScenarios(t *testing.T) {
-	runScenarios(t, "combined-", 756, 260, 70, nil, combinedFaultScenarios)
+	set := &scenarioSet{prefix: "combined-", firstSeed: 756, end: 260, faultsOver: 70, scenarios: combinedFaultScenarios}
+	set.run(t)
 }
--- a/internal/simulator/partition_scenarios_test.go
+++ b/internal/simulator/partition_scenarios_test.go
@@ -190,5 +190,6 @@
 // All is done or cancelled, each job known again within 75 s, the largest begun in time
 // (docs/design.md, "An addition to the rules").
 func TestPartitionsCopiesAndRestarts(t *testing.T) {
-	runScenarios(t, "partitions-", 200, 330, 52, (*Cluster).useLongLeases, partitionScenarios)
+	set := &scenarioSet{prefix: "partitions-", firstSeed: 200, end: 330, faultsOver: 52, prepare: (*Cluster).useLongLeases, scenarios: partitionScenarios}
+	set.run(t)
 }
--- a/internal/simulator/traced_scenarios_test.go
+++ b/internal/simulator/traced_scenarios_test.go
@@ -11,6 +11,7 @@
 	"curlewspool/internal/protocol"
 )
 
+// update has the kept traces written anew.
 var update = flag.Bool("update", false, "write the traces anew")
 
 // playTraced plays a scenario and compares its trace with the kept one.
@@ -85,49 +86,64 @@
 
 // scenario is a short day on which faults meet, to be read.
 type scenario struct {
-	name   string
-	script func(cluster *Cluster, machines []*Machine) (done []string) // which jobs are to be done, beside the workday's
-	check  func(t *testing.T, cluster *Cluster, machines []*Machine)
-}
-
-// runScenarios plays such days; all faults are over at calm. All is done or cancelled in
-// the end, no rule breaks, nothing is forgotten or left waiting.
-func runScenarios(t *testing.T, prefix string, seed uint64, until, calm float64, before func(cluster *Cluster), days []scenario) {
-	for i, c := range days {
-		t.Run(c.name, func(t *testing.T) {
-			ids := []string{"wk-1", "wk-2"}
-			var machines []*Machine
-			cluster := playTraced(t, prefix+c.name, seed+uint64(i), until, func(cluster *Cluster) {
-				cluster.histories.FaultsOver = env.Seconds(calm)
-				cluster.monitorWaitingJobs()
-				if before != nil {
-					before(cluster)
-				}
-				machines = submitStandardLoad(cluster)
-				ids = append(ids, c.script(cluster, machines)...)
-			})
-			expectStatus(t, cluster, protocol.JobDone, ids...)
-			expectStatus(t, cluster, protocol.JobCancelled, "wk-3")
-			for _, wrong := range cluster.ServiceLevelViolations() {
-				t.Error(wrong)
-			}
-			if c.check != nil {
-				c.check(t, cluster, machines)
-			}
-		})
+	name string
+	// script arranges the day beside the standard load, and returns the jobs that are to be
+	// done beside that's.
+	script func(cluster *Cluster, machines []*Machine) (done []string)
+	// check checks more than that all is done or cancelled; nil: nothing.
+	check func(t *testing.T, cluster *Cluster, machines []*Machine)
+}
+
+// scenarioSet is a set of scenarios that have times in common, in seconds.
+type scenarioSet struct {
+	prefix     string // of the names of the traces
+	firstSeed  uint64
+	end        float64
+	faultsOver float64
+	prepare    func(cluster *Cluster) // nil: nothing
+	scenarios  []scenario
+}
+
+// run plays the scenarios. All is done or cancelled in the end, no invariant is violated,
+// nothing is forgotten or left waiting.
+func (s *scenarioSet) run(t *testing.T) {
+	for i, test := range s.scenarios {
+		t.Run(test.name, func(t *testing.T) { s.play(t, test, s.firstSeed+uint64(i)) })
 	}
 }
 
-func addMachines(cluster *Cluster, smalls, bigs int) (ids []*Machine) {
-	for i := 0; i < smalls; i++ {
-		ids = append(ids, cluster.AddMachine("small", []string{"a", "b"}[i%2], false))
+func (s *scenarioSet) play(t *testing.T, test scenario, seed uint64) {
+	done := []string{"wk-1", "wk-2"}
+	var machines []*Machine
+	cluster := playTraced(t, s.prefix+test.name, seed, s.end, func(cluster *Cluster) {
+		cluster.histories.FaultsOver = env.Seconds(s.faultsOver)
+		cluster.monitorWaitingJobs()
+		if s.prepare != nil {
+			s.prepare(cluster)
+		}
+		machines = submitStandardLoad(cluster)
+		done = append(done, test.script(cluster, machines)...)
+	})
+	expectStatus(t, cluster, protocol.JobDone, done...)
+	expectStatus(t, cluster, protocol.JobCancelled, "wk-3")
+	expectServiceLevels(t, cluster, "day")
+	if test.check != nil {
+		test.check(t, cluster, machines)
+	}
+}
+
+// addMachines adds machines of both types, in both zones in turn.
+func addMachines(cluster *Cluster, smalls, bigs int) (machines []*Machine) {
+	for i := range smalls {
+		machines = append(machines, cluster.AddMachine("small", zoneOf(i), false))
 	}
-	for i := 0; i < bigs; i++ {
-		ids = append(ids, cluster.AddMachine("big", []string{"a", "b"}[i%2], false))
+	for i := range bigs {
+		machines = append(machines, cluster.AddMachine("big", zoneOf(i), false))
 	}
-	return ids
+	return machines
 }
 
+// expectStatus checks what the users of jobs were told last.
 func expectStatus(t *testing.T, cluster *Cluster, want protocol.JobStatus, ids ...string) {
 	t.Helper()
 	for _, id := range ids {
@@ -137,12 +153,12 @@
 	}
 }
 
-// newMonitoredCluster is a deployment whose users see whether jobs wait beside room, once all faults are
-// over, in seconds.
-func newMonitoredCluster(seed uint64, calm float64) *Cluster {
+// newMonitoredCluster returns a cluster on which jobs are found that wait though there is
+// room for them, once all faults are over, in seconds.
+func newMonitoredCluster(seed uint64, faultsOver float64) *Cluster {
 	cluster := NewCluster(seed)
 	cluster.ServeAPI()
-	cluster.histories.FaultsOver = env.Seconds(calm)
+	cluster.histories.FaultsOver = env.Seconds(faultsOver)
 	cluster.monitorWaitingJobs()
 	return cluster
 }
@@ -163,6 +179,7 @@
 	return submitArrays(cluster, "wk-b", at, jobs, tasks, estimate)
 }
 
+// submitArrays submits several arrays, with a name and a number each, within a second.
 func submitArrays(cluster *Cluster, name string, at float64, jobs, tasks int, estimate float64) (ids []string) {
 	for i := 0; i < jobs; i++ {
 		id := fmt.Sprintf("%s%d", name, i+1)
