--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -13,7 +13,7 @@
 	"curlewspool/internal/shard"
 )
 
-// cutLinksFor parts pairs of hosts from one time to another, in seconds.
+// cutLinksFor cuts links between hosts, both ways, from one time to another, in seconds.
 func (c *Cluster) cutLinksFor(from, to float64, pairs []link) {
 	c.At(from, func() {
 		for _, pair := range pairs {
@@ -263,12 +263,14 @@
 	}
 }
 
-// useTightLeases leaves a third as much for a controller's lease as for a machine's: about as in the users' large
-// deployments. tighter leaves a tenth.
+// useTightLeases leaves a third as much for a controller's lease as for a machine's: about
+// as in large deployments.
 func (c *Cluster) useTightLeases() { c.setLeaseTimes(3, 15.5, 28) }
 
+// useTighterLeases leaves a tenth as much.
 func (c *Cluster) useTighterLeases() { c.setLeaseTimes(3, 15.5, 18) }
 
+// setLeaseTimes sets report_s, lease_s and cancel_s, in seconds.
 func (c *Cluster) setLeaseTimes(report, lease, cancel float64) {
 	for _, name := range c.controllerNames {
 		d := &c.Controllers[name].settings.Deployment.Workers
--- a/internal/simulator/random_days_test.go
+++ b/internal/simulator/random_days_test.go
@@ -12,27 +12,22 @@
 	"curlewspool/internal/protocol"
 )
 
-var days = flag.Int("days", 80, "random days to play")
-
-var firstDay = flag.Int("first", 1, "the first one's seed")
-
-// delayedMessageDays: from this seed on days have combined failures.
-const delayedMessageDays = 100000
-
-// unreachableDays: from this seed on also those with machines out of reach.
-const unreachableDays = 200000
-
-// staleAnswerDays: and those with answers and news that are out of date.
-const staleAnswerDays = 300000
-
-// combinedDays: and those of combined_test.go.
-const combinedDays = 500000
-
-// pipelineDays: and pipelines, whose stages are cancelled, late, or repeated.
-const pipelineDays = 600000
+// Flags of the random days.
+var (
+	days     = flag.Int("days", 80, "random days to play")
+	firstDay = flag.Int("first", 1, "the first one's seed")
+)
 
-// vouchedOutageDays: and on these the controllers vouch for each other in an outage.
-const vouchedOutageDays = 400000
+// The first seeds of the kinds of random days. Days of a kind hold what those of the kinds
+// before may hold, but for vouching, which is on days of its kind alone.
+const (
+	delayedMessageDays = 100000 // with combined faults, of messages
+	unreachableDays    = 200000 // and of machines that are out of reach
+	staleAnswerDays    = 300000 // and of answers and changes that are out of date
+	vouchedOutageDays  = 400000 // and the controllers vouch for each other in an outage
+	combinedDays       = 500000 // and two or three faults in the same moments
+	pipelineDays       = 600000 // and jobs that depend on others, which are cancelled, late, or repeated
+)
 
 // play plays a random day of two to five faults that overlap and end by 80 s, and
 // returns what went wrong.
@@ -203,40 +198,46 @@
 	d.cluster.histories.FaultsOver = max(d.cluster.histories.FaultsOver, env.Seconds(over))
 }
 
+// randomDays plays as many random days as the flag says, from a seed on.
 func randomDays(t *testing.T, first int) {
 	for seed := first; seed < first+*days; seed++ {
-		cluster, script, wrong := play(seed)
-		if len(wrong) > 0 {
-			t.Errorf("day %d: %s\n  with %s", seed, strings.Join(wrong, "; "), strings.Join(script, ", "))
-		}
+		cluster := expectRandomDay(t, seed)
 		if *days == 1 {
 			t.Log(cluster.TraceText())
 		}
 	}
 }
 
-// Random days: whatever overlaps, no rule breaks and all is done or cancelled in
+// expectRandomDay plays a random day on which nothing may go wrong.
+func expectRandomDay(t *testing.T, seed int) *Cluster {
+	t.Helper()
+	cluster, script, wrong := play(seed)
+	if len(wrong) > 0 {
+		t.Errorf("day %d: %s\n  with %s", seed, strings.Join(wrong, "; "), strings.Join(script, ", "))
+	}
+	return cluster
+}
+
+// Random days: whatever overlaps, no invariant is violated and all is done or cancelled in
 // the end. A day that fails is played again by its seed:
 // go test ./internal/simulator -run TestRandomDays -first SEED -days 1 -v
-func TestRandomDays(t *testing.T) {
-	randomDays(t, *firstDay)
-}
+func TestRandomDays(t *testing.T) { randomDays(t, *firstDay) }
 
-// The same with combined failures.
+// The same with faults of messages that meet.
 func TestRandomDelayedMessages(t *testing.T) { randomDays(t, *firstDay+delayedMessageDays) }
 
-// And with those of the users' letter that came later.
+// And with machines that are out of reach.
 func TestRandomUnreachableMachines(t *testing.T) { randomDays(t, *firstDay+unreachableDays) }
 
-// And with those.
+// And with answers, changes and reports that are out of date.
 func TestRandomStaleResponses(t *testing.T) { randomDays(t, *firstDay+staleAnswerDays) }
 
-// Random days on which they vouch, with the combined failures that matter to it more often: an
-// outage longer than cancel_s on each, cancellations around its beginning and in it, and
-// shards that change hands shortly before.
+// Random days on which the controllers vouch for each other, with the combined faults that
+// matter to it more often: an outage longer than cancel_s on each, cancellations around its
+// beginning and in it, and shards that change hands shortly before.
 func TestRandomVouchedOutages(t *testing.T) { randomDays(t, *firstDay+vouchedOutageDays) }
 
-// Random days with the users' second list.
+// Random days with two or three faults in the same moments.
 func TestRandomCombinedFaults(t *testing.T) { randomDays(t, *firstDay+combinedDays) }
 
 // Random days with pipelines among everything else.
@@ -245,23 +246,17 @@
 // Days that failed once, each of its own cause or mended together: kept.
 func TestRegressionDays(t *testing.T) {
 	for _, seed := range []int{
-		200018, 200229, 200244, 200352, 200586, 200590, 200681, // jobs of a team whose part has no machine left
+		200018, 200229, 200244, 200352, 200586, 200590, 200681, // jobs of a team whose shard has no machine left
 		203025, // a gang that was stopped twice before its launch
 		20046,  // the rest of an array in one zone, in a shard without more machines there
 		5110,   // a gang and a machine that is in doubt for ever
-		300683, // a gang apart, and machines that are rented in the wrong zone
+		300683, // a gang spread over zones, and machines that are rented in the wrong zone
 		200526, // of the checks: an unaccepted job's repetition without a field gets 400
 	} {
-		if _, script, wrong := play(seed); len(wrong) > 0 {
-			t.Errorf("day %d: %s\n  with %s", seed, strings.Join(wrong, "; "), strings.Join(script, ", "))
-		}
+		expectRandomDay(t, seed)
 	}
 }
 
 // An array that had started in a shard stayed there, however few machines that had, though
 // others had room (day 10526: one machine for 16 tasks, beside idle ones that went back).
-func TestStartedArrayUsesCapacityElsewhere(t *testing.T) {
-	if _, script, wrong := play(10526); len(wrong) > 0 {
-		t.Errorf("%s\n  with %s", strings.Join(wrong, "; "), strings.Join(script, ", "))
-	}
-}
+func TestStartedArrayUsesCapacityElsewhere(t *testing.T) { expectRandomDay(t, 10526) }
