--- a/internal/simulator/cluster.go
+++ b/internal/simulator/cluster.go
@@ -203,13 +203,3 @@
 	sort.Strings(names)
 	return names
 }
-
-// LeaderName is the name of the controller that leads; "" if none knows of one.
-func (c *Cluster) LeaderName() string {
-	for _, name := range c.runningControllers() {
-		if leader := c.Controllers[name].Controller.DebugState().Leader; leader != "" {
-			return leader
-		}
-	}
-	return ""
-}
--- a/internal/simulator/cluster_queries_test.go
+++ b/internal/simulator/cluster_queries_test.go
@@ -151,3 +151,13 @@
 	return fmt.Sprintf("%s is %q at the end (%s %d x %v single zone %v spread %v): %s",
 		id, c.ReportedStatus(id), job.Shape, job.Tasks, job.Cores, job.SingleZone, job.SpreadZones, reasons)
 }
+
+// leaderName is the name of the controller that leads; "" if none knows of one.
+func (c *Cluster) leaderName() string {
+	for _, name := range c.runningControllers() {
+		if leader := c.Controllers[name].Controller.DebugState().Leader; leader != "" {
+			return leader
+		}
+	}
+	return ""
+}
--- a/internal/simulator/fault_injection_test.go
+++ b/internal/simulator/fault_injection_test.go
@@ -311,3 +311,11 @@
 		c.cutLink(machine.Address(), c.apiAddress(name))
 	}
 }
+
+// partitionClustersFor cuts two clusters off from one time to another, in seconds.
+func (n *Network) partitionClustersFor(a, b *Cluster, oneWay bool, from, to float64) {
+	n.At(from, func() {
+		heal := n.PartitionClusters(a, b, oneWay)
+		n.At(to, heal)
+	})
+}
--- a/internal/simulator/federation.go
+++ b/internal/simulator/federation.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"fmt"
 	"strings"
 	"time"
 
@@ -98,14 +97,3 @@
 	}
 	return c.clusters[homeName], agent.TaskID{Job: loan.Job, Index: loan.FirstTask + id.Index}
 }
-
-// LoanSummary says how many chunks are lent and how many loans are borrowed, by the word
-// of the controllers.
-func (c *Cluster) LoanSummary() string {
-	for _, name := range c.runningControllers() {
-		if federation := c.Controllers[name].Controller.DebugState().Federation; federation != nil {
-			return fmt.Sprintf("%s: %d lent, %d borrowed", c.Name, len(federation.Lent), len(federation.Borrowed))
-		}
-	}
-	return c.Name + ": nobody there"
-}
--- a/internal/simulator/federation_failure_test.go
+++ b/internal/simulator/federation_failure_test.go
@@ -135,7 +135,7 @@
 		})
 	})
 	expectStatus(t, west, protocol.JobDone, ids...)
-	if got := west.LoanSummary(); got != "west: 0 lent, 0 borrowed" {
+	if got := west.loanSummary(); got != "west: 0 lent, 0 borrowed" {
 		t.Error(got)
 	}
 }
--- a/internal/simulator/federation_handover_test.go
+++ b/internal/simulator/federation_handover_test.go
@@ -19,7 +19,7 @@
 		west, east := playFederation(t, what, 13, 200, func(west, east *Cluster) {
 			ids = overloadWest(west, east)
 			west.At(at, func() {
-				if line := west.LeaderName(); line != "" {
+				if line := west.leaderName(); line != "" {
 					west.Controllers[line].Crash()
 					west.At(at+40, west.Controllers[line].Start)
 				}
@@ -54,7 +54,7 @@
 	if caller.cluster == east {
 		asked = west
 	}
-	return asked.Controllers[asked.LeaderName()]
+	return asked.Controllers[asked.leaderName()]
 }
 
 func (p *handoverPause) play(t *testing.T, seed uint64) {
--- a/internal/simulator/federation_helpers_test.go
+++ b/internal/simulator/federation_helpers_test.go
@@ -53,7 +53,7 @@
 func expectNoLoans(t *testing.T, west, east *Cluster) {
 	t.Helper()
 	for _, cluster := range []*Cluster{west, east} {
-		if got, want := cluster.LoanSummary(), cluster.Name+": 0 lent, 0 borrowed"; got != want {
+		if got, want := cluster.loanSummary(), cluster.Name+": 0 lent, 0 borrowed"; got != want {
 			t.Errorf("at the end %s, want none", got)
 		}
 	}
@@ -75,3 +75,14 @@
 	addMachines(east, 8, 0)
 	return submitOverload(west, 5, 4, 16, 15)
 }
+
+// loanSummary says how many chunks are lent and how many loans are borrowed, by the word
+// of the controllers.
+func (c *Cluster) loanSummary() string {
+	for _, name := range c.runningControllers() {
+		if federation := c.Controllers[name].Controller.DebugState().Federation; federation != nil {
+			return fmt.Sprintf("%s: %d lent, %d borrowed", c.Name, len(federation.Lent), len(federation.Borrowed))
+		}
+	}
+	return c.Name + ": nobody there"
+}
--- a/internal/simulator/federation_test.go
+++ b/internal/simulator/federation_test.go
@@ -103,7 +103,7 @@
 	if recalled == 0 || back == 0 {
 		t.Errorf("%d loans called back, %d came back", recalled, back)
 	}
-	if got := west.LoanSummary(); got != "west: 0 lent, 0 borrowed" {
+	if got := west.loanSummary(); got != "west: 0 lent, 0 borrowed" {
 		t.Error(got)
 	}
 }
--- a/internal/simulator/network_faults.go
+++ b/internal/simulator/network_faults.go
@@ -141,11 +141,3 @@
 		n.healLinks(links)
 	}
 }
-
-// partitionClustersFor cuts two clusters off from one time to another, in seconds.
-func (n *Network) partitionClustersFor(a, b *Cluster, oneWay bool, from, to float64) {
-	n.At(from, func() {
-		heal := n.PartitionClusters(a, b, oneWay)
-		n.At(to, heal)
-	})
-}
--- a/internal/simulator/placement_test.go
+++ b/internal/simulator/placement_test.go
@@ -19,9 +19,9 @@
 		cluster.Submit(9, NewSubmission("wk-6", protocol.ShapeArray, 8, 1, 6, ofTeam("blue")))
 		cluster.Submit(9, NewSubmission("wk-7", protocol.ShapeArray, 1, 1, 6, ofTeam("nobody")))
 		cluster.Submit(10, NewSubmission("wk-8", protocol.ShapeArray, 5, 1, 8, spreadOverZones))
-		cluster.TraceRequest(15, "GET", "/v2/runs/wk-404", nil)
-		cluster.TraceRequest(16, "POST", pathJobs, map[string]any{"id": "wk-9", "cores": "x"})
-		cluster.TraceRequest(90, "POST", pathJobs, map[string]any{"id": "wk-1", "cores": "x"}) // a repeat is 200 whatever it holds
+		cluster.traceRequest(15, "GET", "/v2/runs/wk-404", nil)
+		cluster.traceRequest(16, "POST", pathJobs, map[string]any{"id": "wk-9", "cores": "x"})
+		cluster.traceRequest(90, "POST", pathJobs, map[string]any{"id": "wk-1", "cores": "x"}) // a repeat is 200 whatever it holds
 		cluster.Cancel(60, "wk-3")
 	})
 	expectStatus(t, cluster, protocol.JobDone, "wk-1", "wk-2", "wk-4", "wk-6", "wk-8")
--- a/internal/simulator/user_requests_test.go
+++ b/internal/simulator/user_requests_test.go
@@ -237,3 +237,13 @@
 		c.Submit(5+float64(i)/2, NewSubmission(fmt.Sprintf("wk-%d", i+1), protocol.ShapeArray, 4+i%3, 1, 6, ofClass(class)))
 	}
 }
+
+// traceRequest makes one request of a user at a time given in seconds, and traces its
+// status.
+func (c *Cluster) traceRequest(at float64, method, path string, body any) {
+	c.At(at, func() {
+		c.requestAsUser(method, path, body, nil, userTimeout, func(status int) {
+			c.Trace("%s %s -> %d", method, path, status)
+		})
+	})
+}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -104,16 +104,6 @@
 	c.after(userRetryInterval, func() { c.trySubmit(submission, tries+1) })
 }
 
-// TraceRequest makes one request of a user at a time given in seconds, and traces its
-// status.
-func (c *Cluster) TraceRequest(at float64, method, path string, body any) {
-	c.At(at, func() {
-		c.requestAsUser(method, path, body, nil, userTimeout, func(status int) {
-			c.Trace("%s %s -> %d", method, path, status)
-		})
-	})
-}
-
 // pollStatus asks for a job's status, now and regularly.
 func (c *Cluster) pollStatus(id string) {
 	state, askedAt := &protocol.JobState{}, c.now
