--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -128,7 +128,7 @@
 	said := ""
 	st, err := cl.Wait(context.Background(), "wk-1", func(s *protocol.JobState) { said += string(s.Status) + " " })
 	if err != nil || st.Status != protocol.JobDone || said != "pending running done " {
-		t.Errorf("%+v %v, told %q", st, err, said)
+		t.Errorf("%+v %v, reported %q", st, err, said)
 	}
 	_, cl = startServer(t, "none")
 	if _, err := cl.Status(context.Background(), "wk-2"); !errors.Is(err, ErrNoSuchJob) {
--- a/internal/devcluster/comments_test.go
+++ b/internal/devcluster/comments_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-// Every package and every exported function, method of an exported type, type, constant
-// and variable has a comment. The linter judges the form of comments that are there, not
-// that there is one. A group of constants or variables needs one comment for all of it.
+// TestExportedItemsAreDocumented checks that every package and every exported function,
+// method of an exported type, type, constant and variable has a comment. The linter judges
+// the form of comments that are there, not that there is one. A group of constants or
+// variables needs one comment for all of it.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	files := token.NewFileSet()
 	packages := map[string]bool{} // by folder: whether it has a comment
@@ -72,7 +73,7 @@
 	return names
 }
 
-// exportedReceiver tells whether a function is no method of an unexported type.
+// exportedReceiver reports whether a function is no method of an unexported type.
 func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
--- a/internal/devcluster/red_test.go
+++ b/internal/devcluster/red_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// The list of tests that are known to fail cannot pass over more than it says: CI ends
-// on a malformed line, a fourth one, a name that no test has, or an empty list.
+// TestKnownRed checks that the list of tests that are known to fail cannot pass over more
+// than it says: CI ends on a malformed line, a fourth one, a name that no test has, or an
+// empty list.
 func TestKnownRed(t *testing.T) {
 	for _, c := range []struct{ list, want string }{
 		{"TestKnownRed: a cause: 34\n", "^(TestKnownRed)$"},
--- a/internal/nomad/nomad_test.go
+++ b/internal/nomad/nomad_test.go
@@ -13,107 +13,128 @@
 
 var update = flag.Bool("update", false, "write the golden files and the table in docs/nomad.md anew")
 
-func golden(t *testing.T, name, text string) {
+// maxReadTime bounds the time to read and convert a file, however odd.
+const maxReadTime = 5 * time.Second
+
+// compareGolden compares a text to a golden file, or writes it with -update.
+func compareGolden(t *testing.T, file, text string) {
 	t.Helper()
 	if *update {
-		if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
+		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(name)
+	want, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if text != string(want) {
-		t.Errorf("%s differs:\n%s", name, text)
+		t.Errorf("%s differs:\n%s", file, text)
 	}
 }
 
+// testRules are the default rules and a class of the files in testdata.
 func testRules() Rules {
-	r := DefaultRules()
-	r.Classes["scan"] = Class{Estimate: 20, ImageGB: 0.9, Spot: true}
-	return r
+	rules := DefaultRules()
+	rules.Classes["scan"] = Class{Estimate: 20, ImageGB: 0.9, Spot: true}
+	return rules
 }
 
+// planFile reads and converts a file of testdata.
+func planFile(t *testing.T, file string, inputs Inputs) (*Plan, error) {
+	t.Helper()
+	source, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	job, err := ReadAny(filepath.Base(file), source, inputs)
+	if err != nil {
+		return nil, err
+	}
+	return PlanJobs(job, testRules())
+}
+
+// scanInputs are the variables without a default of testdata/taken/scan.nomad.
+var scanInputs = Inputs{Vars: []string{"zone=thies-hall"}}
+
 // TestHCLAndJSONAgree checks that the same job in both forms is the same native job.
 func TestHCLAndJSONAgree(t *testing.T) {
-	form := func(file string, in Inputs) string {
-		src, err := os.ReadFile("testdata/taken/" + file)
+	encode := func(file string, inputs Inputs) string {
+		plan, err := planFile(t, file, inputs)
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := ReadAny(file, src, in)
+		text, err := json.Marshal(plan.Jobs[0].ProtocolFields())
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := PlanJobs(n, testRules())
-		if err != nil {
-			t.Fatal(err)
-		}
-		b, _ := json.Marshal(p.Jobs[0].ProtocolFields())
-		return string(b)
+		return string(text)
 	}
-	if a, b := form("scan.nomad", Inputs{Vars: []string{"zone=thies-hall"}}), form("scan.json", Inputs{}); a != b {
-		t.Errorf("HCL  %s\nJSON %s", a, b)
+	fromHCL := encode("testdata/taken/scan.nomad", scanInputs)
+	fromJSON := encode("testdata/taken/scan.json", Inputs{})
+	if fromHCL != fromJSON {
+		t.Errorf("HCL  %s\nJSON %s", fromHCL, fromJSON)
 	}
 }
 
+// acceptedJob is a native job as the golden file has it.
+type acceptedJob struct {
+	Job     map[string]any `json:"job"`
+	Assumed []string       `json:"assumed"`
+}
+
 // TestAcceptedFiles compares the native jobs that files become, with all that was
 // assumed, to the golden file.
 func TestAcceptedFiles(t *testing.T) {
-	files, _ := filepath.Glob("testdata/taken/*")
-	var b strings.Builder
-	for _, f := range files {
-		in := []string{"zone=thies-hall"}
-		if !strings.Contains(f, "scan.nomad") {
-			in = nil
-		}
-		src, _ := os.ReadFile(f)
-		n, err := ReadAny(filepath.Base(f), src, Inputs{Vars: in})
-		if err != nil {
-			t.Errorf("%s: %v", f, err)
-			continue
+	files, err := filepath.Glob("testdata/taken/*")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	for _, file := range files {
+		inputs := Inputs{}
+		if filepath.Base(file) == "scan.nomad" {
+			inputs = scanInputs
 		}
-		p, err := PlanJobs(n, testRules())
+		plan, err := planFile(t, file, inputs)
 		if err != nil {
-			t.Errorf("%s: %v", f, err)
+			t.Errorf("%s: %v", file, err)
 			continue
 		}
-		for _, j := range p.Jobs {
-			if _, err := j.Job.Validate(); err != nil {
-				t.Errorf("%s: the scheduler would refuse it: %v", f, err)
+		for _, native := range plan.Jobs {
+			if _, err := native.Job.Validate(); err != nil {
+				t.Errorf("%s: the scheduler would refuse it: %v", file, err)
+			}
+			encoded, err := json.MarshalIndent(acceptedJob{native.ProtocolFields(), native.Assumed}, "", "  ")
+			if err != nil {
+				t.Fatal(err)
 			}
-			w, _ := json.MarshalIndent(struct {
-				Job     map[string]any `json:"job"`
-				Assumed []string       `json:"assumed"`
-			}{j.ProtocolFields(), j.Assumed}, "", "  ")
-			fmt.Fprintf(&b, "%s, group %s: %s\n", filepath.Base(f), j.Group, w)
+			fmt.Fprintf(&text, "%s, group %s: %s\n", filepath.Base(file), native.Group, encoded)
 		}
 	}
-	golden(t, "testdata/taken.golden", b.String())
+	compareGolden(t, "testdata/taken.golden", text.String())
 }
 
 // TestRefusedFiles compares the problems of files, all of them at once, each with its
 // position and reason, to the golden file; they are found within bounded time.
 func TestRefusedFiles(t *testing.T) {
-	files, _ := filepath.Glob("testdata/refused/*")
-	var b strings.Builder
-	for _, f := range files {
-		src, _ := os.ReadFile(f)
-		began := time.Now()
-		n, err := ReadAny(filepath.Base(f), src, Inputs{})
-		if err == nil {
-			_, err = PlanJobs(n, testRules())
-		}
+	files, err := filepath.Glob("testdata/refused/*")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var text strings.Builder
+	for _, file := range files {
+		start := time.Now()
+		_, err := planFile(t, file, Inputs{})
 		if err == nil {
-			t.Errorf("%s was taken", f)
+			t.Errorf("%s was accepted", file)
 		}
-		if d := time.Since(began); d > 5*time.Second {
-			t.Errorf("%s took %v", f, d)
+		if elapsed := time.Since(start); elapsed > maxReadTime {
+			t.Errorf("%s took %v", file, elapsed)
 		}
-		fmt.Fprintf(&b, "%v\n\n", err)
+		fmt.Fprintf(&text, "%v\n\n", err)
 	}
-	golden(t, "testdata/refused.golden", b.String())
+	compareGolden(t, "testdata/refused.golden", text.String())
 }
 
 // TestVariables checks the order of sources of variables: a flag goes before a file, a file before the environment.
@@ -173,7 +194,7 @@
 			if got := fmt.Sprint(err); c.want == "" && err != nil || !strings.Contains(got, c.want) {
 				t.Errorf("%.200s, want %q", got, c.want)
 			}
-			if d := time.Since(began); d > 5*time.Second {
+			if d := time.Since(began); d > maxReadTime {
 				t.Errorf("took %v", d)
 			}
 		})
