--- a/internal/simulator/refusal_then_outage_test.go
+++ b/internal/simulator/refusal_then_outage_test.go
@@ -221,10 +221,18 @@
 // sweepRefusalThenOutage tries all combinations, with clusters that edit changes.
 func sweepRefusalThenOutage(t *testing.T, seed uint64, edit func(*Cluster)) {
 	sweep := &refusalSweep{seed: seed, edit: edit}
-	for name, refused := range map[string]func(*Cluster) []string{"leader": leaderOnly, "largest owner": largestOwnerOnly, "both": leaderAndLargestOwner} {
-		t.Run(name, func(t *testing.T) {
-			sweep.tryLengths(t, refused)
-			sweep.tryOtherFaults(t, refused)
+	// In a fixed order: a combination's seed is counted, and a failed one is played again by it.
+	for _, test := range []struct {
+		name    string
+		refused func(*Cluster) []string
+	}{
+		{"both", leaderAndLargestOwner},
+		{"largest owner", largestOwnerOnly},
+		{"leader", leaderOnly},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			sweep.tryLengths(t, test.refused)
+			sweep.tryOtherFaults(t, test.refused)
 		})
 	}
 }
